--- a/martenjunction/decisions/boxes/__init__.py
+++ b/martenjunction/decisions/boxes/__init__.py
@@ -1,1 +1,1 @@
-"""What a box on the platform decides: endpoints, readers, suspects."""
+"""Decision logic of a box: endpoint choice, store readers, quarantine."""
--- a/martenjunction/decisions/boxes/endpoint_choice.py
+++ b/martenjunction/decisions/boxes/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to."""
+"""Endpoint selection for requests."""
 
 import dataclasses
 import math
@@ -9,56 +9,61 @@
 from martenjunction.decisions.boxes import endpoint_records
 from martenjunction.decisions.boxes import shedding
 
-# Seconds that an answer from another availability zone takes longer.
+# Additional latency in seconds of a response from another availability zone.
 FAR_ZONE_S = 0.0005
 
-# Seconds that a certain failure is worth, as a cost of choosing.
+# Cost in seconds of a failure whose probability is 1.
 FAILURE_COST_S = 0.1
 
-# Seconds that reading one shared token again is worth: the users pay about as
-# much for 6,000 of them as for a long answer that comes late.
+# Cost in seconds of prefilling one shared token again: 6,000 such tokens cost
+# users about as much as a long response that misses its deadline.
 SHARED_TOKEN_COST_S = 0.0001
 
-# Part of an engine's time in which it may read short prompts before streams
-# beside them wait for piece after piece, and long ones before they queue for
-# longer than reading them takes. Endpoints are divided by what is asked of
-# each kind over its part.
+# Fractions of an engine's time that may be spent on prefilling short and long
+# prompts. Above the first, streams on the same engine wait for several prefill
+# chunks in a row; above the second, long prompts queue for longer than their
+# own prefill takes. Endpoints are divided in proportion to the demand of each
+# kind divided by its fraction.
 SHORT_READING_PART = 0.4
 LONG_READING_PART = 0.7
 
-# Part of an engine's places that short streams take where it is kept for them,
-# and the largest part of the endpoints that may be kept.
+# Fraction of the concurrency slots that short streams may fill on endpoints
+# reserved for them, and the maximum fraction of endpoints that may be reserved.
 SHORT_PLACES_PART = 0.6
 MOST_SHORT_PART = 0.5
 
-# Cost in seconds of a long prompt where it is read beside short streams: the
-# first one as long as all that is unread there is read within a part of the
-# shortest pause that streams may have; beyond that, for each of them, since
-# all that run there come late at once. An endpoint that is kept free of long
-# prompts costs as much as one with many.
+# Cost in seconds of a long prompt on an endpoint that runs short streams. The
+# first value applies while the prefill of the prompt and of the backlog there
+# fits into a fraction of the shortest pause that streams tolerate. Above that,
+# the second value applies per short stream, because all streams there are
+# delayed at once. The third value is the minimum on a reserved endpoint, which
+# therefore costs as much as one with many short streams.
 LONG_BESIDE_SHORT_S = 0.15
 LONG_A_SHORT_STREAM_S = 0.15
 LONG_AMONG_SHORT_S = 3.0
 HELD_UP_PART = 0.25
 
-# Cost in seconds of a short prompt on an endpoint that gets long ones.
+# Cost in seconds of a short prompt on an endpoint that serves long prompts.
 SHORT_AMONG_LONG_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint for a request, and what the choice was made from.
+    """An endpoint selected for a request, with the inputs of the selection.
 
     Attributes:
         record: The endpoint.
-        unread: Prompt tokens that it would have to read.
-        predicted_s: Seconds to a first event, or to a plain answer.
-        running: Requests of all boxes there.
-        ahead: Unread tokens there that go first.
-        waiting: All unread tokens there.
-        short_running: Requests with short prompts there.
-        debt: Tokens sent there beyond the rate for long prompts.
-        again: Tokens of the unread ones that other requests may share.
+        unread: Prompt tokens that the endpoint would have to prefill.
+        predicted_s: Predicted time in seconds to the first event, or to a plain
+            response.
+        running: Requests of all boxes at the endpoint.
+        ahead: Prefill backlog in tokens that is served before the request.
+        waiting: Total prefill backlog of the endpoint in tokens.
+        short_running: Requests with short prompts at the endpoint.
+        debt: Tokens sent to the endpoint in excess of the rate for long
+            prompts.
+        again: Tokens to prefill that belong to parts shared with other
+            requests.
     """
 
     record: endpoint_records.EndpointRecord
@@ -73,7 +78,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether others wait there, or few of its places are left."""
+        """Whether requests queue there or at least half its slots are used."""
         places = shedding.BUSY_PART * self.record.slots
         return self.ahead > 0 or self.running >= places
 
@@ -85,21 +90,22 @@
     rng: random.Random,
     apart: bool = False,
 ) -> Choice | None:
-    """Chooses an endpoint.
+    """Selects an endpoint for a request.
 
-    None that wants rest is taken. Those that are ejected or refused work a
-    moment ago are taken only where there is no other; a trial goes to a request
-    that may be repeated.
+    Endpoints in back-off are never selected. Endpoints that are ejected or that
+    recently refused a request are selected only if there is no alternative.
+    Half-open probes use only requests that may be repeated.
 
     Args:
         records: Endpoints that are listed as ready.
         demand: The request.
         now: The current time.
         rng: Breaks ties.
-        apart: Whether it is chosen among the sound ones where fewest run.
+        apart: Whether to consider only the healthy endpoints with the fewest
+            running requests.
 
     Returns:
-        The choice, or None if no endpoint may get it.
+        The choice, or None if no endpoint may receive the request.
     """
     records = [r for r in records if r.accepts(now)]
     if not records:
@@ -117,8 +123,8 @@
     short: set[str] = set()
     owner: str | None = None
     if demand.is_engine:
-        # What takes only so many requests a second can be no home of any kind
-        # of them, and is not open to all requests alike.
+        # Rate-limited endpoints cannot take all requests of a kind, so they are
+        # excluded from reservation and affinity.
         homes = [r for r in fit if not r.limited] or fit
         short = kept_for_short(homes, demand, now)
         owner = _owner(homes, demand, short)
@@ -132,13 +138,14 @@
     demand: endpoint_records.Demand,
     now: float,
 ) -> set[str]:
-    """Returns the endpoints of an engine service that get short prompts.
+    """Returns the endpoints of an engine service reserved for short prompts.
 
-    There are none where streams stay in time beside prompts that are read.
-    Boxes that know the same endpoints and loads come to the same answer.
+    No endpoint is reserved if streams stay within their pause limit while their
+    engine prefills prompts. The result is deterministic: boxes with the same
+    endpoints and loads reserve the same endpoints.
 
     Args:
-        records: Endpoints of the service that may get work.
+        records: Endpoints of the service that may receive requests.
         demand: A request for the service.
         now: The current time.
     """
@@ -162,12 +169,12 @@
     belongs: bool,
     now: float,
 ) -> Choice:
-    """Returns what is expected of a request at one endpoint.
+    """Returns the prediction for a request at one endpoint.
 
     Args:
         record: The endpoint.
         demand: The request.
-        belongs: Whether the request's subject belongs there.
+        belongs: Whether the endpoint has affinity for the request.
         now: The current time.
     """
     unread = record.unread(demand, belongs)
@@ -187,7 +194,7 @@
 def _cost_s(
     choice: Choice, demand: endpoint_records.Demand, for_short: bool
 ) -> float:
-    """Returns the cost, in seconds, of a choice."""
+    """Returns the cost of a choice in seconds."""
     record = choice.record
     cost = choice.predicted_s + record.failures.value * FAILURE_COST_S
     if record.zone != demand.zone:
@@ -204,10 +211,10 @@
 def _beside_short_s(
     choice: Choice, demand: endpoint_records.Demand, for_short: bool
 ) -> float:
-    """Returns the cost of a long prompt beside short streams.
+    """Returns the cost in seconds of a long prompt beside short streams.
 
-    Streams that run at an endpoint that is no longer kept for them count as
-    well: 16,450 tokens beside 25 of them made all 25 late.
+    Short streams also count on an endpoint that is no longer reserved for them:
+    a prefill of 16,450 tokens delayed all 25 streams that still ran there.
     """
     if demand.reads_beside_streams or not (for_short or choice.short_running):
         return 0.0
@@ -223,7 +230,7 @@
     demand: endpoint_records.Demand,
     short: set[str],
 ) -> str | None:
-    """Returns the endpoint to which a request's subject belongs."""
+    """Returns the id of the endpoint with affinity for a request, or None."""
     if demand.subject is None:
         return None
     matching = [r.id for r in fit if (r.id in short) is not demand.is_long]
--- a/martenjunction/decisions/boxes/endpoint_hazard.py
+++ b/martenjunction/decisions/boxes/endpoint_hazard.py
@@ -1,28 +1,29 @@
-"""How often runs end with their endpoint, whatever the request is."""
+"""Base rate of endpoint crashes during requests, by service."""
 
 import collections
 from collections.abc import Collection
 import dataclasses
 import math
 
-# Seconds over which runs are counted.
+# Length of the counting window in seconds.
 WINDOW_S = 10.0
 
-# How often at most a request may be taken for one that ends endpoints, where
-# they ended by themselves under each of its runs. With 2 in 100, 1 of some 170
-# contents was, on a day on which one of five engines ended each second.
+# Maximum probability of quarantining a request whose endpoints crashed
+# independently of it during each of its runs. At 0.02, about 1 in 170 contents
+# was quarantined on a day on which one of five engines crashed each second.
 MISTAKE_PART = 0.001
 
-# Ends one after the other below which no request is quarantined, and those that
-# suffice while most other runs are answered: beyond the third end that all
-# boxes know of, three more arrivals are borne, one of them for a later trial.
+# Bounds of the number of consecutive crashes that lead to quarantine. The upper
+# bound applies only while most other runs are answered: after the third crash
+# that all boxes know of, at most three more requests may reach an endpoint, one
+# of them as a later trial.
 LEAST_ENDS = 3
 MOST_ENDS = 5
 MOST_ENDS_UP_TO = 0.5
 
-# Runs, and those of them that ended with their endpoint, that count as seen
-# from the start. Few runs are seen: without these, boxes that by luck saw no
-# end would be satisfied with three where each fifth run ends so.
+# Prior counts of runs and of runs that crashed. Boxes see few runs: without the
+# prior, a box that happened to see no crash would quarantine after three
+# crashes although every fifth run crashes.
 RUNS_BEFORE = 10
 ENDED_BEFORE = 2
 
@@ -33,35 +34,35 @@
     endpoint_id: str
 
 
-# Ends that are remembered at most.
+# Maximum number of crashes that are remembered.
 MAX_DEATHS = 1024
 
 
 class EndpointHazard:
-    """Runs of one service that a box has seen to end, over some seconds."""
+    """Outcomes of one service's runs seen by a box in a sliding window."""
 
     def __init__(self) -> None:
-        """Makes a count of nothing."""
+        """Initializes the counts with zero."""
         self._answered: collections.Counter[int] = collections.Counter()
         self._deaths: collections.deque[_Death] = collections.deque(
             maxlen=MAX_DEATHS
         )
 
     def answered(self, now: float) -> None:
-        """Notes that an endpoint answered a run in full."""
+        """Records that an endpoint completed a run."""
         self._answered[int(now)] += 1
 
     def ended(self, endpoint_id: str, now: float) -> None:
-        """Notes that an endpoint ended under a run."""
+        """Records that an endpoint crashed during a run."""
         self._deaths.append(_Death(now, endpoint_id))
 
     def part(self, explained: Collection[str], now: float) -> float:
-        """Returns the part of other runs that end with their endpoint.
+        """Returns the fraction of other runs whose endpoint crashes.
 
-        It is a fifth where no run was seen.
+        The prior is a fifth if no run was seen.
 
         Args:
-            explained: Endpoints whose end the request itself may explain.
+            explained: Endpoints whose crash the request itself may have caused.
             now: The current time.
         """
         self._forget(now)
@@ -70,10 +71,10 @@
         return (died + ENDED_BEFORE) / (answered + died + RUNS_BEFORE)
 
     def ends_needed(self, explained: Collection[str], now: float) -> int:
-        """Returns how many ends in a row chance hardly brings about.
+        """Returns how many consecutive crashes are unlikely to be chance.
 
         Args:
-            explained: Endpoints whose end the request itself may explain.
+            explained: Endpoints whose crash the request itself may have caused.
             now: The current time.
         """
         part = self.part(explained, now)
--- a/martenjunction/decisions/boxes/endpoint_limits.py
+++ b/martenjunction/decisions/boxes/endpoint_limits.py
@@ -1,7 +1,8 @@
-"""The requests a second that endpoints say they take from all boxes.
+"""Rate limits that endpoints announce for the requests of all boxes.
 
-A limit is the word of one start of an endpoint. Answers and peers tell it in
-any order; what was first heard later holds, and what binds more is believed at
+A limit belongs to one incarnation of an endpoint. Responses and peers may
+report limits in any order: the most recently issued report applies, ordered by
+the time at which any box first received it, and a stricter limit applies at
 once.
 """
 
@@ -10,20 +11,20 @@
 
 from martenjunction.decisions import grant_bucket
 
-# Words that are remembered, and seconds for which one is that its endpoint has
-# no limit any more: late news of its limit must not bring that back.
+# Maximum number of remembered reports, and the seconds for which the removal of
+# a limit is remembered, so that a delayed report does not restore it.
 MAX_WORDS = 1024
 ENDED_LIFETIME_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
 class Word:
-    """What an endpoint said last.
+    """The latest limit reported for an endpoint.
 
     Attributes:
-        per_s: Requests a second; None if it has no limit any more.
-        since: Steady clock when that was first heard.
-        closed_until: Steady clock until which this box is granted nothing.
+        per_s: Requests per second; None if the endpoint has no limit any more.
+        since: Steady clock time at which the limit was first reported.
+        closed_until: Steady clock time until which this box receives no grant.
     """
 
     per_s: float | None
@@ -33,11 +34,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A word that differs from the one before.
+    """A change of an endpoint's limit.
 
     Attributes:
-        before: Requests a second before it; None for no limit.
-        per_s: The same from now on.
+        before: Previous limit in requests per second; None for no limit.
+        per_s: New limit in requests per second; None for no limit.
     """
 
     before: float | None
@@ -45,22 +46,22 @@
 
 
 class LimitTable:
-    """What one box knows of the limits of all endpoints."""
+    """The limits of all endpoints, as known to one box."""
 
     def __init__(self) -> None:
         self._words: dict[str, Word] = {}
 
     @property
     def words(self) -> dict[str, Word]:
-        """What each endpoint said last, to be read only."""
+        """The latest report of each endpoint by id; read-only."""
         return self._words
 
     def limited(self) -> list[str]:
-        """Returns ids of the endpoints that name a limit."""
+        """Returns the ids of the endpoints with a limit."""
         return [i for i, word in self._words.items() if word.per_s is not None]
 
     def per_s(self, endpoint_id: str) -> float | None:
-        """Returns an endpoint's limit in requests a second; None for none."""
+        """Returns a limit in requests per second, or None for no limit."""
         word = self._words.get(endpoint_id)
         return None if word is None else word.per_s
 
@@ -71,19 +72,20 @@
         asked_at: float,
         now: float,
     ) -> Change | None:
-        """Takes in what an answer to this box says.
+        """Applies the limit in a response to this box.
 
-        An answer to a request that was sent before the word that holds was
-        heard may be older than that word: it may bind more, but not less.
+        If the request was sent before the current report was received, the
+        response may be older than the report. It can then only tighten the
+        limit.
 
         Args:
             endpoint_id: The endpoint.
-            per_s: The limit that it names; None for none.
-            asked_at: When the request was sent, steady clock.
+            per_s: The limit in requests per second; None for no limit.
+            asked_at: Steady clock time at which the request was sent.
             now: The current time.
 
         Returns:
-            What changed, or None.
+            The change, or None if nothing changed.
         """
         per_s = grant_bucket.binding(per_s)
         word = self._words.get(endpoint_id)
@@ -95,15 +97,15 @@
     def take(
         self, endpoint_id: str, per_s: float | None, since: float
     ) -> Change | None:
-        """Takes in what another box heard.
+        """Applies a limit that another box reports.
 
         Args:
             endpoint_id: The endpoint; it need not be listed.
-            per_s: The limit that it names; None for none.
-            since: Steady clock when that box first heard it.
+            per_s: The limit in requests per second; None for no limit.
+            since: Steady clock time at which that box first received it.
 
         Returns:
-            What changed, or None.
+            The change, or None if nothing changed.
         """
         word = self._words.get(endpoint_id)
         if word is not None and since <= word.since:
@@ -111,27 +113,27 @@
         return self._set(endpoint_id, grant_bucket.binding(per_s), since)
 
     def is_open(self, endpoint_id: str, now: float) -> bool:
-        """Returns whether a request may be meant for an endpoint now."""
+        """Returns whether a request may be sent to an endpoint now."""
         return not self.opens_in_s(endpoint_id, now)
 
     def opens_in_s(self, endpoint_id: str, now: float) -> float:
-        """Returns the seconds until this box may ask for a grant; 0 for now."""
+        """Returns the seconds until this box may request a grant; 0 for now."""
         word = self._words.get(endpoint_id)
         if word is None or word.per_s is None:
             return 0.0
         return max(0.0, word.closed_until - now)
 
     def close(self, endpoint_id: str, until: float) -> None:
-        """Notes that this box is granted nothing before a moment."""
+        """Stops this box from requesting grants until a given time."""
         word = self._words.get(endpoint_id)
         if word is not None:
             word.closed_until = until
 
     def keep_only(self, listed: Container[str], now: float) -> None:
-        """Forgets what is no longer of use.
+        """Removes expired reports.
 
         Args:
-            listed: Ids of the endpoints that there are.
+            listed: Ids of the listed endpoints.
             now: The current time.
         """
         gone = [
@@ -158,5 +160,5 @@
 
 
 def _binds_more(per_s: float | None, other: float | None) -> bool:
-    """Returns whether a limit binds more than another one."""
+    """Returns whether a limit is stricter than another one."""
     return per_s is not None and (other is None or per_s < other)
--- a/martenjunction/decisions/boxes/endpoint_list.py
+++ b/martenjunction/decisions/boxes/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get work: the platform's list and what it lacks."""
+"""List of the endpoints, with a grace period for entries that lapse."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 from martenjunction import model
 from martenjunction import revisions
 
-# Seconds after the store's return for which an entry that went away during
-# its outage is kept: its endpoint may not have been able to write.
+# Seconds for which an entry that disappeared during an outage of the store is
+# kept after the store returns: its endpoint may have been unable to write.
 LAPSE_GRACE_S = 2.0
 
 # Seconds after the store is restored from a copy for which restored entries of
@@ -20,16 +20,16 @@
 # longer is being written by its endpoint.
 CONFIRMATION_S = 5.0
 
-# Seconds without an answer of the store to any box after which entries may
-# have lapsed. Endpoints write about every 1.2 s and their entries go after
-# three missed writes, so an outage of less than 2.4 s makes none lapse; a box
-# that begins to read in place of another one has waited for 1.7 s at most.
+# Minimum length in seconds of a store outage, as seen by all boxes, after which
+# entries may have lapsed. Endpoints write about every 1.2 s and their entries
+# are dropped after three missed writes, so no entry lapses in an outage of less
+# than 2.4 s. A box that takes over as reader has waited for at most 1.7 s.
 SHORTEST_LAPSE_S = 2.2
 
 # Limits on the remembered state: removed entries with their last revision, so
 # that late updates do not add them again; ended endpoints, so that a restored
-# copy of the store does not; restarted endpoints; and endpoints that announced
-# that they leave.
+# copy of the store does not add them again; restarted endpoints; and endpoints
+# that announced that they are leaving.
 MAX_GONE = 1024
 MAX_ENDED = 1024
 MAX_RESTARTED = 256
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Listed:
-    """An endpoint of the list.
+    """An entry of the list.
 
     Attributes:
-        endpoint: What it says of itself.
-        revision: The store's revision of that.
-        lapsed: Whether its entry is missing and it is only kept for a while.
+        endpoint: The endpoint as described by its entry.
+        revision: The store's revision of the entry.
+        lapsed: Whether the entry is missing and only kept for the grace period.
     """
 
     endpoint: model.Endpoint
@@ -52,11 +52,12 @@
 
 
 class EndpointList:
-    """The endpoints of all services, as one box knows them.
+    """The endpoints of all services, as known to one box.
 
-    An endpoint that starts again under the name that it had is another one.
-    Which start is the later one follows from the store's revision of the
-    entry: a clock that jumped back must not make it the earlier one for good.
+    An endpoint that restarts under the same name is a new incarnation with its
+    own id. Incarnations are ordered by the store's revision of the entry rather
+    than by their clocks: a clock that jumps back must not make a new
+    incarnation look older for good.
     """
 
     def __init__(self) -> None:
@@ -78,35 +79,35 @@
 
     @property
     def revision(self) -> revisions.Revision:
-        """The store's revision up to which changes are known."""
+        """Revision of the store up to which changes have been applied."""
         return self._revision
 
     @property
     def known(self) -> bool:
-        """Whether a list was ever taken in."""
+        """Whether a full listing was ever applied."""
         return self._revision > revisions.NONE
 
     @property
     def entries(self) -> dict[str, Listed]:
-        """All entries by endpoint id, to be read only."""
+        """All entries by endpoint id; read-only."""
         return self._listed
 
     @property
     def names(self) -> Set[str]:
-        """The names of all entries, to be read only."""
+        """The names of all entries; read-only."""
         return self._starts.keys()
 
     def restarted(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint was lost, as it started again."""
+        """Returns whether an endpoint was lost because it restarted."""
         return endpoint_id in self._restarted
 
     @property
     def leaving(self) -> list[str]:
-        """Ids of listed endpoints that said that they leave."""
+        """Ids of the listed endpoints that announced that they are leaving."""
         return [i for i in self._leaving if i in self._listed]
 
     def ready(self, service: str) -> list[model.Endpoint]:
-        """Returns a service's endpoints that may get new work."""
+        """Returns the endpoints of a service that may receive new requests."""
         return [
             listed.endpoint
             for listed in self._listed.values()
@@ -115,18 +116,18 @@
         ]
 
     def ready_ids(self) -> list[str]:
-        """Returns the ids of all endpoints that may get new work, in order."""
+        """Returns the sorted ids of endpoints that may receive new requests."""
         return sorted(i for i in self._listed if self.may_send(i))
 
     def digest(self) -> int:
-        """Returns a digest of the ids of all that may get new work."""
+        """Returns a digest of the ids of ready endpoints."""
         if self._digest is None:
             ids = ",".join(self.ready_ids())
             self._digest = xxhash.xxh3_64_intdigest(ids.encode())
         return self._digest
 
     def may_send(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint may get new work at this moment."""
+        """Returns whether an endpoint may receive new requests now."""
         listed = self._listed.get(endpoint_id)
         return (
             listed is not None
@@ -139,15 +140,15 @@
         revision: revisions.Revision,
         now: float,
     ) -> list[str]:
-        """Takes in a whole list.
+        """Applies a full listing.
 
         Args:
-            entries: Endpoints, each with the revision of its entry.
-            revision: The store's revision when it was read.
+            entries: Endpoints with the revisions of their entries.
+            revision: The store's revision of the listing.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         return self._take_all(
             entries, set(), revision, lambda i: self._end(i, revision, now)
@@ -160,20 +161,22 @@
         revision: revisions.Revision,
         now: float,
     ) -> list[str]:
-        """Takes in what another box knows.
+        """Applies the view of another box.
 
-        That box has already waited for entries that lapsed, so what it does
-        not have is gone. Right after the store was restored, such entries get
-        the grace period instead, as that box may have started since.
+        That box has already waited for the grace period of lapsed entries, so
+        entries that it does not have are removed. Shortly after a restore of
+        the store, such entries get the grace period instead, because that box
+        may have started since.
 
         Args:
-            changed: Endpoints whose entries changed, each with its revision.
-            ready: Ids of all endpoints that may get work.
-            revision: The store's revision up to which that box knows.
+            changed: Endpoints whose entries changed, with their revisions.
+            ready: Ids of all endpoints that may receive requests.
+            revision: The store's revision up to which that box has applied
+                changes.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
 
         def end(endpoint_id: str) -> list[str]:
@@ -203,7 +206,7 @@
     def take_change(
         self, endpoint: model.Endpoint, revision: revisions.Revision
     ) -> list[str]:
-        """Takes in one entry; returns ids that may no longer get work."""
+        """Applies an entry; returns the ids that may no longer get requests."""
         if self._is_unconfirmed(endpoint.id, revision):
             self._unconfirmed[endpoint.id] = Listed(endpoint, revision)
             return []
@@ -219,8 +222,7 @@
         was_ready = self.may_send(endpoint.id)
         known_to_leave = listed is not None and not was_ready
         if known_to_leave or endpoint.id in self._leaving:
-            # An endpoint that once said that it leaves does not come back,
-            # whatever its entry says after that, or does not say.
+            # Leaving is final: later states of the entry do not undo it.
             endpoint = dataclasses.replace(
                 endpoint, state=model.EndpointState.DRAINING
             )
@@ -234,7 +236,7 @@
     def _is_unconfirmed(
         self, endpoint_id: str, revision: revisions.Revision
     ) -> bool:
-        """Returns whether an entry of an ended endpoint is only restored."""
+        """Returns whether an entry of an ended endpoint was merely restored."""
         ended = self._ended.get(endpoint_id)
         return (
             ended is not None
@@ -245,15 +247,15 @@
     def take_end(
         self, entry: str, revision: revisions.Revision, now: float
     ) -> list[str]:
-        """Takes in the end of an entry.
+        """Applies the removal of an entry.
 
         Args:
             entry: The entry's name.
-            revision: The store's revision of that.
+            revision: The store's revision of the removal.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         for endpoint_id, unconfirmed in list(self._unconfirmed.items()):
             if unconfirmed.endpoint.entry == entry:
@@ -263,14 +265,14 @@
     def take_foreign(
         self, entry: str, revision: revisions.Revision
     ) -> list[str]:
-        """Takes in that an entry names no endpoint any more.
+        """Handles an entry that no longer describes an endpoint.
 
         Args:
             entry: The entry's name.
-            revision: The store's revision of that.
+            revision: The store's revision of the change.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         known = self._starts.get(entry)
         return [] if known is None else self._drop(known, revision)
@@ -281,7 +283,7 @@
         known: Listed | None,
         revision: revisions.Revision,
     ) -> list[str]:
-        """Ends an earlier start of an endpoint; returns its id if listed."""
+        """Removes a previous incarnation; returns its id in a list, if any."""
         if known is None or known.endpoint.id == endpoint.id:
             return []
         earlier = known.endpoint.id
@@ -305,14 +307,14 @@
         return self._drop(endpoint_id, revision)
 
     def leave(self, endpoint_id: str, revision: revisions.Revision) -> bool:
-        """Notes that an endpoint may get no more work.
+        """Marks an endpoint as draining.
 
         Args:
             endpoint_id: The endpoint.
-            revision: The store's revision of that.
+            revision: The store's revision at which it was found to be draining.
 
         Returns:
-            Whether that is news.
+            Whether the endpoint's state changed.
         """
         listed = self._listed.get(endpoint_id)
         if not self.may_send(endpoint_id) or listed is None:
@@ -338,15 +340,15 @@
         return told.era < held.era and held <= self._era_start
 
     def say_leaving(self, endpoint_id: str) -> bool:
-        """Takes in that an endpoint says itself that it leaves.
+        """Records that an endpoint itself announced that it is leaving.
 
-        That holds for this start of it, for good, whatever its entry says.
+        This is final for this incarnation, whatever its entry says.
 
         Args:
             endpoint_id: The endpoint; it need not be listed.
 
         Returns:
-            Whether that is news.
+            Whether this was unknown before.
         """
         if endpoint_id in self._leaving:
             return False
@@ -365,26 +367,27 @@
         self._digest = None
 
     def advance(self, revision: revisions.Revision) -> None:
-        """Notes that all changes up to a revision were taken in."""
+        """Records that all changes up to a revision have been applied."""
         self._revision = max(self._revision, revision)
 
     def store_lost(self) -> None:
-        """Notes that the store does not answer."""
+        """Records that the store does not respond."""
         self._store_lost = True
 
     def store_returned(self, now: float, away_s: float) -> None:
-        """Notes that the store answers.
+        """Records that the store responds again.
 
         Args:
             now: The current time.
-            away_s: Seconds since it is last known to have answered any box.
+            away_s: Seconds since the store is last known to have responded to
+                any box.
         """
         self._store_lost = False
         if away_s >= SHORTEST_LAPSE_S:
             self._grace_until = now + LAPSE_GRACE_S
 
     def expire(self, now: float) -> list[str]:
-        """Drops lapsed entries whose time is over; returns their ids.
+        """Removes lapsed entries after the grace period; returns their ids.
 
         Also accepts unconfirmed entries once `CONFIRMATION_S` has passed.
         """
@@ -413,16 +416,16 @@
         revision: revisions.Revision,
         end: Callable[[str], list[str]],
     ) -> list[str]:
-        """Takes in entries, and the end of all that are not there.
+        """Applies entries and removes all endpoints that are not present.
 
         Args:
-            entries: Endpoints, each with the revision of its entry.
-            others: Ids of endpoints that are there beside these.
-            revision: The store's revision up to which that is known.
-            end: Takes in the end of an entry; returns ids that left.
+            entries: Endpoints with the revisions of their entries.
+            others: Ids of other endpoints that are present.
+            revision: The store's revision of the entries.
+            end: Handles a missing endpoint; returns the ids that were removed.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         if revision < self._revision:
             return []
@@ -462,10 +465,10 @@
 
 
 def _told_by_box(endpoint: model.Endpoint, ready: Set[str]) -> model.Endpoint:
-    """Returns an endpoint as the box sees it that tells its entry.
+    """Returns an endpoint in the state reported by another box.
 
-    That box may have heard that the endpoint leaves, which the entry does not
-    say.
+    The box may know that the endpoint is leaving although its entry does not
+    say so.
     """
     if endpoint.id in ready:
         return endpoint
--- a/martenjunction/decisions/boxes/endpoint_loads.py
+++ b/martenjunction/decisions/boxes/endpoint_loads.py
@@ -1,23 +1,23 @@
-"""What all boxes have at one endpoint, as one box knows it."""
+"""Load of one endpoint by all boxes, as known to one box."""
 
 import dataclasses
 
-# Seconds for which another box's word on its runs counts.
+# Seconds after which the load reported by another box expires.
 PEER_LOAD_LIFETIME_S = 1.5
 
 
-# Urgencies that the tier of one route spans: its requests are ranked among one
-# another by the tiers of their workspaces.
+# Number of urgencies per route tier. Requests within a route tier are ordered
+# by the tier of their workspace.
 WORKSPACE_TIERS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadKey:
-    """Requests that are counted together.
+    """Key under which requests are counted.
 
     Attributes:
-        urgency: Their rank; 0 is served first.
-        is_long: Whether their prompts hold up streams beside them.
+        urgency: Rank of the requests; 0 is served first.
+        is_long: Whether their prefill delays streams on the same engine.
     """
 
     urgency: int
@@ -29,8 +29,8 @@
     """Requests of one key at one endpoint.
 
     Attributes:
-        running: Requests there, those that wait included.
-        unread: Prompt tokens that the endpoint has yet to read for them.
+        running: Requests at the endpoint, including queued ones.
+        unread: Prompt tokens that the endpoint has yet to prefill for them.
     """
 
     running: int = 0
@@ -38,13 +38,13 @@
 
 
 class EndpointLoads:
-    """The requests of all boxes at one endpoint, and their sums.
+    """Requests of all boxes at one endpoint, with running totals.
 
-    The sums are kept up to date, so that weighing an endpoint does not grow
-    with the boxes.
+    The totals are updated incrementally, so that the cost of evaluating an
+    endpoint does not grow with the number of boxes.
 
     Attributes:
-        scale: By how much more all boxes have than those that were heard.
+        scale: Ratio of the load of all boxes to that of the boxes that report.
     """
 
     def __init__(self) -> None:
@@ -55,21 +55,21 @@
         self._all_running = 0
         self._all_unread = 0
         self._all_short = 0
-        # No peer's word is older than this.
+        # Lower bound of the times of all peer reports.
         self._oldest = 0.0
 
     @property
     def own(self) -> dict[LoadKey, Load]:
-        """What this box has there; to be read only."""
+        """The load of this box; read-only."""
         return self._own
 
     @property
     def own_running(self) -> int:
-        """Requests that this box has there."""
+        """Number of this box's requests at the endpoint."""
         return sum(load.running for load in self._own.values())
 
     def add(self, key: LoadKey, running: int, unread: int) -> None:
-        """Books requests of this box that begin there, or end."""
+        """Adds to the load of this box; negative values remove load."""
         load = self._own.setdefault(key, Load())
         load.running += running
         load.unread += unread
@@ -78,7 +78,7 @@
     def take_peer(
         self, box: str, loads: dict[LoadKey, Load], now: float
     ) -> None:
-        """Notes what another box has there."""
+        """Replaces the load reported by another box."""
         _, before = self._peers.pop(box, (0.0, {}))
         self._count(before, -1)
         if loads:
@@ -88,20 +88,20 @@
             self._count(loads, 1)
 
     def running(self, now: float) -> int:
-        """Returns the requests of all boxes there."""
+        """Returns the number of requests of all boxes."""
         self._forget_old(now)
         return self._all(self._all_running)
 
     def short_running(self, now: float) -> int:
-        """Returns the requests of all boxes there with short prompts."""
+        """Returns the number of requests of all boxes with short prompts."""
         self._forget_old(now)
         return self._all(self._all_short)
 
     def ahead(self, urgency: int, now: float) -> int:
-        """Returns the unread tokens of all boxes that go first.
+        """Returns the prefill backlog in tokens that is served first.
 
         Args:
-            urgency: Of the request that would wait.
+            urgency: Urgency of the request that would queue.
             now: The current time.
         """
         self._forget_old(now)
@@ -114,10 +114,10 @@
         )
 
     def lower_tiers(self, urgency: int, now: float) -> int:
-        """Returns the requests there on routes of a lower tier.
+        """Returns the number of requests on routes of a lower tier.
 
         Args:
-            urgency: Of a request.
+            urgency: Urgency of the request to compare with.
             now: The current time.
         """
         self._forget_old(now)
@@ -129,12 +129,12 @@
         )
 
     def waiting(self, now: float) -> int:
-        """Returns the unread tokens of all boxes there."""
+        """Returns the prefill backlog of all boxes in tokens."""
         self._forget_old(now)
         return self._all(self._all_unread)
 
     def _all(self, heard: int) -> int:
-        """Returns what all boxes have, from what those that are heard have."""
+        """Extrapolates a total of the reporting boxes to all boxes."""
         return round(heard * self.scale)
 
     def _count(self, loads: dict[LoadKey, Load], sign: int) -> None:
--- a/martenjunction/decisions/boxes/endpoint_records.py
+++ b/martenjunction/decisions/boxes/endpoint_records.py
@@ -1,4 +1,4 @@
-"""What one box knows of one endpoint, and what it predicts from that."""
+"""State that a box keeps for each endpoint, and latency predictions."""
 
 import collections
 from collections.abc import Iterable
@@ -11,57 +11,58 @@
 from martenjunction.decisions.boxes import engine_figures
 from martenjunction.decisions.boxes import reading_demand
 
-# Part of its rate up to which long prompts are sent to an engine: while it
-# reads without a break, the streams that it runs get a token only after each
-# piece that it reads, and long answers miss their deadline.
+# Fraction of an engine's prefill rate up to which long prompts are sent to it.
+# While it prefills without a break, its streams get a token only after each
+# chunk, and long responses miss their deadline.
 READING_PART = 0.8
 
-# Seconds to a first event that do not depend on the prompt: the way there
-# and back, and the tokens that one event holds.
+# Fixed part of the time in seconds to a first event: the round trip, and the
+# tokens of one event.
 FIRST_EVENT_S = 0.03
 
-# Time kept back of a pause, in seconds, for the way to the client.
+# Seconds of a tolerated pause reserved for delivery to the client.
 PAUSE_MARGIN_S = 0.015
 
-# Seconds by which each running request delays the first token of another.
+# Delay in seconds of a first token by each running request.
 STEP_S_PER_RUN = 0.001
 
-# Seconds by which each request beyond an endpoint's places delays a first
-# token: another one must end first.
+# Delay in seconds of a first token by each request beyond the number of slots:
+# another request must complete first.
 OVER_SLOTS_S = 0.01
 
-# Seconds of an answer by a plain service, until it is learnt.
+# Initial estimate in seconds of a plain service's response time.
 PLAIN_ANSWER_S = 0.03
 
-# Weight of one observation of how slow an engine is, and for how many the
-# start, that it is as fast as usual, stands: single first events are late by
-# several times for what arrives in the same moment, not for the engine.
+# Weight of one observation of an engine's slowness, and the number of
+# observations that the initial value of 1 counts for. Single first events may
+# be several times late because requests arrive at the same moment, not because
+# the engine is slow.
 SLOWNESS_WEIGHT = 0.05
 SLOWNESS_START = 19
 
-# The urgency that stands for requests of plain services.
+# Urgency of requests to plain services.
 PLAIN_URGENCY = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request asks of an endpoint.
+    """Properties of a request that determine its cost at an endpoint.
 
     Attributes:
         service: The service.
-        parts: Ids and tokens of the parts of its prompt, in order.
-        prompt_tokens: Length of the prompt.
+        parts: Ids and token counts of the parts of its prompt, in order.
+        prompt_tokens: Length of the prompt in tokens.
         zone: The box's availability zone.
         is_engine: Whether the service's endpoints are model engines.
-        repeatable: Whether it may run more than once.
+        repeatable: Whether the request may run more than once.
         urgency: Rank at an engine; 0 is served first.
-        shortest_pause_s: The shortest pause between events that any stream
-            of the service may have; None where there is no such bound.
-        pause_s: The longest pause between its own events; None where there is
-            no such bound.
+        shortest_pause_s: The shortest pause limit between events of any stream
+            of the service; None for no limit.
+        pause_s: The pause limit between events of its own stream; None for no
+            limit.
         tokens_per_event: Tokens in one event of a stream.
-        figures: What is learnt of the service's engines.
-        asked: What all requests of the service ask to be read.
+        figures: Performance profile of the service's engines.
+        asked: Prefill demand of all requests of the service.
     """
 
     service: str
@@ -79,7 +80,7 @@
 
     @property
     def reads_beside_streams(self) -> bool:
-        """Whether streams stay in time while their engine reads prompts."""
+        """Whether streams stay within their pause limit during prefill."""
         if self.shortest_pause_s is None:
             return True
         pause_s = self.tokens_per_event * self.figures.reading_token_s
@@ -87,7 +88,7 @@
 
     @property
     def subject(self) -> str | None:
-        """The last part that other requests may share, or None."""
+        """The id of the last part that other requests may share, or None."""
         if not self.parts:
             return None
         return self.parts[-2 if len(self.parts) > 1 else -1][0]
@@ -99,15 +100,16 @@
 
     @property
     def load_key(self) -> endpoint_loads.LoadKey:
-        """What it is counted under."""
+        """The key under which the request's load is counted."""
         return endpoint_loads.LoadKey(self.urgency, self.is_long)
 
     @property
     def is_long(self) -> bool:
-        """Whether reading its prompt holds up streams beside it.
+        """Whether prefilling the prompt delays streams on the same engine.
 
-        One that may itself not pause for longer than those is long only where
-        it would hold them up alone: among long prompts it would come late.
+        A request whose own pause limit is the shortest one counts as long only
+        if its prefill alone would exceed a higher threshold: among long prompts
+        its own stream would be delayed.
         """
         if self.shortest_pause_s is None:
             return False
@@ -118,26 +120,27 @@
         return reading_s > part * self.shortest_pause_s
 
 
-# A prompt is long when reading it takes more than this part of the shortest
-# pause that any stream of the service may have; where its own stream may not
-# pause for longer either, more than the second part.
+# A prompt is long if its prefill takes more than this fraction of the shortest
+# pause limit of the service's streams. The second fraction applies if the
+# request's own stream has that limit.
 LONG_PAUSE_PART = 0.2
 LONG_ALONE_PART = 0.5
 
 
 class EndpointRecord:
-    """What one box learnt of one endpoint."""
+    """State that one box keeps for one endpoint."""
 
     def __init__(
         self, endpoint_id: str, zone: str, slots: int, cache_tokens: int
     ) -> None:
-        """Makes the record of an endpoint that was just listed.
+        """Initializes the record of a newly listed endpoint.
 
         Args:
-            endpoint_id: Its id.
+            endpoint_id: The endpoint's id.
             zone: Its availability zone.
-            slots: Requests that it runs at once.
-            cache_tokens: Tokens that fit into its memory; 0 for a plain one.
+            slots: Number of requests that it runs concurrently.
+            cache_tokens: Capacity of its prefix cache in tokens; 0 for a plain
+                endpoint.
         """
         self.id = endpoint_id
         self.zone = zone
@@ -166,23 +169,23 @@
 
     @property
     def sent_tokens(self) -> int:
-        """Unread tokens that this box has sent there since it started."""
+        """Prefill tokens that this box has sent since listing the endpoint."""
         return self._sent_tokens
 
     def sent(self, unread: int, now: float) -> None:
-        """Notes that this box sends it tokens to read."""
+        """Records prefill tokens that this box sends to the endpoint."""
         self._sent_tokens += unread
         self._add_debt(unread, now)
 
     def take_peer_sent(self, box: str, total: int, now: float) -> None:
-        """Notes how many tokens another box has sent there in its life."""
+        """Updates the total of tokens that another box has sent."""
         before = self._peer_sent.get(box, total)
         self._peer_sent[box] = total
         if total > before:
             self._add_debt(total - before, now)
 
     def debt(self, now: float) -> float:
-        """Returns the tokens sent there beyond the rate for long prompts."""
+        """Returns the tokens sent in excess of the rate for long prompts."""
         rate = self.figures.prefill_tokens_per_s * READING_PART
         return max(0.0, self._debt - (now - self._debt_at) * rate)
 
@@ -191,7 +194,7 @@
         self._debt_at = now
 
     def remember(self, parts: Iterable[tuple[str, int]]) -> None:
-        """Notes the parts of a prompt that was read there."""
+        """Records the parts of a prompt that the endpoint has prefilled."""
         for name, tokens in parts:
             old = self._parts.pop(name, 0)
             self._parts[name] = tokens
@@ -201,7 +204,7 @@
             self._held_tokens -= tokens
 
     def held(self, parts: Iterable[tuple[str, int]]) -> int:
-        """Returns how many tokens at a prompt's start it probably holds."""
+        """Returns the number of a prompt's leading tokens probably cached."""
         total = 0
         for name, tokens in parts:
             if name not in self._parts:
@@ -210,22 +213,22 @@
         return total
 
     def accepts(self, now: float) -> bool:
-        """Returns whether it may be sent a request at all."""
+        """Returns whether the endpoint may be sent a request at all."""
         return self.refusals.accepts(self.loads.own_running, now)
 
     def may_get_work(self, now: float) -> bool:
-        """Returns whether it is sound, or due for a trial."""
+        """Returns whether the endpoint is healthy or due for a probe."""
         if self.health.state is endpoint_states.EndpointState.EJECTED:
             return self.loads.own_running == 0 and self.health.trial_due(now)
         return not self.refusals.pauses(now)
 
     def unread(self, demand: Demand, belongs: bool) -> int:
-        """Returns the prompt tokens that it would have to read.
+        """Returns the prompt tokens that the endpoint would have to prefill.
 
         Args:
             demand: The request.
-            belongs: Whether the request's subject belongs there, so that
-                another box has probably sent its shared parts already.
+            belongs: Whether the endpoint has affinity for the request, so that
+                another box has probably sent the shared parts already.
         """
         held = self.held(demand.parts)
         if belongs:
@@ -233,11 +236,11 @@
         return max(1, demand.prompt_tokens - held)
 
     def predicted_s(self, demand: Demand, unread: int, now: float) -> float:
-        """Predicts seconds to a first event, or to a plain answer.
+        """Predicts the seconds to the first event or to a plain response.
 
         Args:
             demand: The request.
-            unread: Prompt tokens that it would have to read.
+            unread: Prompt tokens that the endpoint would have to prefill.
             now: The current time.
         """
         running = self.loads.running(now)
@@ -250,9 +253,9 @@
         return expected_s * self.slowness.value
 
     def _held_up_s(self, demand: Demand, now: float) -> float:
-        """Returns by how much prompts that go later delay a first event.
+        """Returns the delay in seconds of a first event by later prefills.
 
-        Each of the event's tokens waits for a piece that is read beside it.
+        Each token of the event waits for a chunk that is prefilled beside it.
         """
         beside = max(
             0, self.loads.waiting(now) - self.loads.ahead(demand.urgency, now)
@@ -261,11 +264,11 @@
         return min(demand.figures.reading_s(beside), longest_s)
 
     def _queue_s(self, demand: Demand, unread: int, now: float) -> float:
-        """Predicts seconds to a first event at an engine's usual speed.
+        """Predicts the seconds to a first event at an engine's usual speed.
 
         Args:
             demand: The request.
-            unread: Prompt tokens that it would have to read.
+            unread: Prompt tokens that the endpoint would have to prefill.
             now: The current time.
         """
         running = self.loads.running(now)
--- a/martenjunction/decisions/boxes/engine_figures.py
+++ b/martenjunction/decisions/boxes/engine_figures.py
@@ -1,9 +1,9 @@
-"""What is learnt of the engines of one service, and how.
+"""Performance profiles of the engines of each service.
 
-Engines of unlike services differ by several times in how fast they read
-prompts and in how long a stream waits for a token while they do. Both decide
-which prompts may run beside which streams, so they are learnt from what every
-box sees anyway: first events and the pauses between events.
+Engines of different services differ severalfold in their prefill rate and in
+how long a stream waits for a token during prefill. Both determine which prompts
+may run beside which streams, so each box estimates them from the first events
+and the pauses between events that it observes.
 """
 
 import collections
@@ -11,65 +11,68 @@
 import dataclasses
 import math
 
-# Where nothing was learnt yet: the rate that the first users told of theirs,
-# and streams that do not stay in time beside prompts, since all boxes start
-# while engines hold nothing and read most.
+# Estimates without any observations: the prefill rate that the first users
+# reported for their engines, and streams that exceed every pause limit during
+# prefill. The latter is cautious because after a start of all boxes the caches
+# of the engines are empty and most prompts have to be prefilled.
 START_PREFILL_TOKENS_PER_S = 50_000.0
 START_READING_TOKEN_S = math.inf
 
-# Least prompt tokens whose reading time says something of the rate, and the
-# seconds of a first event that do not depend on it (way, steps of one event).
+# Minimum prompt tokens for a useful observation of the prefill rate, and the
+# part of a first event in seconds that does not depend on the rate (network,
+# steps of one event).
 LEAST_READ_TOKENS = 2_000
 FIRST_STEPS_S = 0.015
 
-# First events of prompts that count, how many there must be before a box's own
-# word counts, and the part of them below the learnt rate: what others sent
-# there, told late, makes single ones low but none high.
+# Number of first events that are kept, the number needed before a box's own
+# estimate counts, and the quantile that is used. Load from other boxes that is
+# reported late makes single observations too low but never too high.
 READS = 64
 ENOUGH_READS = 3
 RATE_PART = 0.9
 
-# Pauses beside prompts are judged in blocks, of which there must be some before
-# a box's own word counts. The learnt pause is one of the longest of the latest
-# blocks' own, since only a busy time shows how long they get while an engine
-# reads piece after piece. A box sees some 15 such pauses a second.
+# Pauses during prefill are grouped in blocks, and a box's own estimate counts
+# only after some blocks. The estimate is a high quantile of the latest blocks'
+# own high quantiles, because only busy periods show how long pauses get while
+# an engine prefills chunk after chunk. A box sees about 15 such pauses a
+# second.
 BLOCK_PAUSES = 64
 ENOUGH_BLOCKS = 3
 BLOCKS = 24
 PAUSE_PART = 0.97
 BLOCKS_PART = 0.9
 
-# Part of the boxes' figures below the one that counts: a box that saw little
-# reading knows of a shorter pause and of a lower rate than there is.
+# Quantile of the boxes' estimates that is used: a box that saw few prefills
+# underestimates both the pause and the rate.
 VOTES_PART = 0.75
 
-# Part by which figures must change before the change is logged.
+# Relative change of an estimate above which it is logged.
 WORTH_TELLING = 0.1
 
-# Seconds for which another box's figures count.
+# Seconds after which the estimate of another box expires.
 PEER_FIGURES_LIFETIME_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineFigures:
-    """How fast the engines of a service are.
+    """Performance profile of the engines of a service.
 
     Attributes:
-        prefill_tokens_per_s: Prompt tokens that one reads in a second beside
-            its streams.
+        prefill_tokens_per_s: Prompt tokens per second that an engine prefills
+            beside its streams.
         reading_token_s: Seconds that a stream waits for each token while its
-            engine reads prompts without a break.
+            engine prefills prompts without a break.
     """
 
     prefill_tokens_per_s: float = START_PREFILL_TOKENS_PER_S
     reading_token_s: float = START_READING_TOKEN_S
 
     def reading_s(self, tokens: float) -> float:
-        """Returns the seconds in which so many prompt tokens are read."""
+        """Returns the time in seconds to prefill a number of prompt tokens."""
         return tokens / self.prefill_tokens_per_s
 
     def is_like(self, other: "EngineFigures") -> bool:
-        """Returns whether both differ by no more than is worth a log line."""
+        """Returns whether the difference is too small to be logged."""
         return all(
             math.isclose(mine, theirs, rel_tol=WORTH_TELLING)
             for mine, theirs in (
@@ -80,7 +83,7 @@
 
 
 class _Pauses:
-    """The longest pauses of the latest blocks of observations."""
+    """Upper quantiles of the latest blocks of observed pauses."""
 
     def __init__(self) -> None:
         self._block: list[float] = []
@@ -90,7 +93,7 @@
 
     @property
     def longest(self) -> float | None:
-        """The learnt pause, or None while there are too few blocks."""
+        """The estimated pause in seconds, or None with too few blocks."""
         if len(self._longest) < ENOUGH_BLOCKS:
             return None
         return _quantile(self._longest, BLOCKS_PART)
@@ -104,17 +107,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LearntFigures:
-    """What one box learnt; None where it saw too little."""
+    """Estimates of one box; None where it has too few observations."""
 
     prefill_tokens_per_s: float | None = None
     reading_token_s: float | None = None
 
 
 class FiguresLearner:
-    """Learns the figures of one service's engines, with the other boxes.
+    """Estimates the profile of one service's engines together with peers.
 
-    Each box that saw enough has one vote, and all know the votes of most, so
-    that boxes decide alike, and one that was just started like the others.
+    Each box with enough observations contributes one estimate, and boxes
+    exchange them, so that all boxes, including newly started ones, decide
+    alike.
     """
 
     def __init__(self) -> None:
@@ -126,39 +130,43 @@
 
     @property
     def figures(self) -> EngineFigures:
-        """What is to be counted with, as of the last `settle`."""
+        """The combined profile as of the last `settle`."""
         return self._figures
 
     @property
     def own(self) -> LearntFigures:
-        """What this box learnt by itself, as of the last `settle`."""
+        """The estimate of this box alone as of the last `settle`."""
         return self._own
 
     @property
     def voters(self) -> int:
-        """Boxes that learnt something, as far as is known here."""
+        """Number of boxes with an estimate, as far as known here."""
         return (self._own != LearntFigures()) + len(self._peers)
 
     def prompt_read(self, tokens: int, seconds: float) -> None:
-        """Notes a first event of a prompt that nothing was known to precede.
+        """Records the first event of a prompt with no known backlog before it.
 
         Args:
-            tokens: Prompt tokens that had to be read for sure.
-            seconds: From sending to the first event.
+            tokens: Prompt tokens that certainly had to be prefilled.
+            seconds: Time from sending the request to the first event.
         """
         if tokens >= LEAST_READ_TOKENS and seconds > FIRST_STEPS_S:
             self._rates.append(tokens / (seconds - FIRST_STEPS_S))
 
     def paused(self, token_s: float) -> None:
-        """Notes the seconds a token of a stream beside a prompt took."""
+        """Records the time per token of a stream during prefill.
+
+        Args:
+            token_s: Seconds per token.
+        """
         self._pauses.add(token_s)
 
     def take_peer(self, box: str, learnt: LearntFigures, now: float) -> None:
-        """Notes what another box learnt."""
+        """Replaces the estimate of another box."""
         self._peers[box] = (now, learnt)
 
     def settle(self, now: float) -> None:
-        """Works the figures out anew from all that is known."""
+        """Recomputes the profile and drops expired ones of other boxes."""
         rate = None
         if len(self._rates) >= ENOUGH_READS:
             rate = _quantile(self._rates, RATE_PART)
--- a/martenjunction/decisions/boxes/key_freshness.py
+++ b/martenjunction/decisions/boxes/key_freshness.py
@@ -1,28 +1,29 @@
-"""For how long a box may trust what it knows of keys and configuration."""
+"""Limits on the age of the keys and configuration that a box uses."""
 
-# Part of the time within which a change has to be in force for which a box
-# serves on although it has heard of a newer configuration. It gets that within
-# 0.1 s as a rule; one that does not is short of time or of bandwidth, and its
+# Fraction of the deadline for applying a change during which a box keeps
+# serving although it knows of a newer configuration. It normally receives that
+# within 0.1 s. A box that does not is short of CPU time or bandwidth, and its
 # clients are better served by another box.
 SERVED_BEHIND_PART = 0.6
 
 
 class ConfigFreshness:
-    """When the configuration in force was last known to be the newest.
+    """Tracks when the active configuration was last known to be the newest.
 
-    All times are on the steady clock. A confirmation counts from the moment
-    the question was sent, since the answer says nothing of what came later.
+    All times are on the steady clock. A confirmation counts from the time at
+    which the query was sent, because the response says nothing about later
+    changes.
     """
 
     def __init__(
         self, lifetime_s: float, margin_s: float, change_s: float
     ) -> None:
-        """Makes a state in which nothing was confirmed yet.
+        """Initializes the state without any confirmation.
 
         Args:
-            lifetime_s: Seconds for which a removed key may still be honoured.
-            margin_s: Seconds that are kept back for the way to an endpoint.
-            change_s: Seconds within which a change has to be in force.
+            lifetime_s: Seconds for which a removed key may still be accepted.
+            margin_s: Seconds reserved for delivery of a request to an endpoint.
+            change_s: Deadline in seconds for applying a change.
         """
         self._lifetime_s = lifetime_s
         self._margin_s = margin_s
@@ -32,29 +33,29 @@
 
     @property
     def confirmed_at(self) -> float | None:
-        """When the newest confirmation was asked for, or None."""
+        """Time at which the latest confirmation was requested, or None."""
         return self._confirmed_at
 
     def confirm(self, asked_at: float) -> None:
-        """Notes that the configuration was the newest at a moment."""
+        """Records that the configuration was the newest at a given time."""
         if self._confirmed_at is None or asked_at > self._confirmed_at:
             self._confirmed_at = asked_at
 
     def forget(self) -> None:
-        """Drops all confirmations: a newer version is known to exist."""
+        """Drops all confirmations because a newer version exists."""
         self._confirmed_at = None
 
     def age_s(self, now: float) -> float | None:
-        """Returns the age of the newest confirmation, or None."""
+        """Returns the age in seconds of the latest confirmation, or None."""
         if self._confirmed_at is None:
             return None
         return now - self._confirmed_at
 
     def heard_of(self, version: int, now: float) -> bool:
-        """Notes that a newer configuration exists; returns whether it is news.
+        """Records a newer version; returns whether it was unknown before.
 
         Args:
-            version: Its version, which is not in force here.
+            version: The version, which is not active here.
             now: The current time.
         """
         if version in self._newer:
@@ -63,32 +64,34 @@
         return True
 
     def caught_up(self, version: int, now: float) -> float:
-        """Notes that a version is in force here.
+        """Records that a version is active here.
 
         Args:
             version: The version.
             now: The current time.
 
         Returns:
-            Seconds since this box first heard of something it did not have.
+            Seconds for which this box has known of a version that it did not
+            have.
         """
         behind_s = self.behind_s(now)
         self._newer = {v: at for v, at in self._newer.items() if v > version}
         return behind_s
 
     def nobody_has(self, above: int) -> None:
-        """Notes that no box that is heard has a version above one.
+        """Drops versions that no connected box has.
 
-        What only a box knew that is gone must not keep this one from serving.
+        A version known only to a box that is gone must not keep this box from
+        serving.
 
         Args:
-            above: The highest version that is heard of.
+            above: The highest version that any connected box has.
         """
         for version in [v for v in self._newer if v > above]:
             del self._newer[version]
 
     def behind_s(self, now: float) -> float:
-        """Returns for how long a known change has not been in force here.
+        """Returns the seconds for which a known change has not been active.
 
         Args:
             now: The current time.
@@ -96,7 +99,7 @@
         return now - min(self._newer.values(), default=now)
 
     def lags(self, now: float) -> bool:
-        """Returns whether this box is too far behind to judge requests.
+        """Returns whether this box is too far behind to authorize requests.
 
         Args:
             now: The current time.
@@ -104,10 +107,10 @@
         return self.behind_s(now) > self._served_behind_s
 
     def covers(self, received_at: float) -> bool:
-        """Returns whether keys may be honoured for a request.
+        """Returns whether keys may be accepted for a request.
 
         Args:
-            received_at: When the request came.
+            received_at: Time at which the request was received.
         """
         age = self.age_s(received_at)
         return age is not None and age < self._lifetime_s - self._margin_s
--- a/martenjunction/decisions/boxes/peer_questions.py
+++ b/martenjunction/decisions/boxes/peer_questions.py
@@ -1,23 +1,24 @@
-"""How many questions a box has under way, and for how long.
+"""Limit on the in-flight queries of a box to its peers, with back-off.
 
-A box that is late asks few peers at a time. If it asked more the longer the
-answers take, its questions would keep it late: all peers each 0.3 s were 290
-questions a second at 87 boxes, each answered by a box that may be short of
-time itself.
+A box that is behind queries few peers at a time. If it sent more queries the
+longer the responses took, the queries would keep it behind: querying all peers
+every 0.3 s was 290 queries a second at 87 boxes, each answered by a box that
+may itself be short of CPU time.
 """
 
 import dataclasses
 
-# Questions that may be under way at a time: one may meet a peer that does not
-# answer.
+# Maximum number of in-flight queries: one may go to a peer that does not
+# respond.
 MOST_UNDER_WAY = 2
 
-# Seconds for which a question is waited for before another one is asked: the
-# first, and after unanswered ones. An answer that comes later still counts.
+# Initial and maximum seconds to wait for a response before another query is
+# sent. The wait doubles after each timeout. Later responses still count.
 FIRST_WAIT_S = 0.4
 LONGEST_WAIT_S = 1.6
 
-# Questions whose sending time is remembered: at two in 0.4 s, those of 12 s.
+# Number of queries whose send time is remembered: at two per 0.4 s, those of
+# the last 12 s.
 MAX_REMEMBERED = 64
 
 
@@ -30,7 +31,7 @@
 
 
 class PeerQuestions:
-    """The questions of one box."""
+    """In-flight queries of one box."""
 
     def __init__(self) -> None:
         self._questions: dict[int, _Question] = {}
@@ -38,10 +39,10 @@
         self._wait_s = FIRST_WAIT_S
 
     def ask(self, box: str, now: float) -> int | None:
-        """Begins a question; returns its number, or None if it has to wait.
+        """Starts a query; returns its number, or None if it has to wait.
 
         Args:
-            box: The peer that would be asked.
+            box: The peer to be queried.
             now: The current time.
         """
         under_way = [q for q in self._questions.values() if self._waits(q, now)]
@@ -56,7 +57,7 @@
         return self._last
 
     def answered(self, number: int) -> float | None:
-        """Ends a question; returns when it was asked, None if forgotten."""
+        """Completes a query; returns its send time, or None if unknown."""
         question = self._questions.pop(number, None)
         if question is None:
             return None
@@ -64,7 +65,7 @@
         return question.asked_at
 
     def unanswered_by(self, now: float) -> set[str]:
-        """Returns the peers that have not answered within the longest wait.
+        """Returns the peers with a recent query that they have not answered.
 
         Args:
             now: The current time.
@@ -76,7 +77,7 @@
         }
 
     def lost(self, box: str) -> None:
-        """Forgets the questions to a peer whose connection ended."""
+        """Drops the queries to a peer whose connection was closed."""
         gone = [n for n, q in self._questions.items() if q.box == box]
         for number in gone:
             del self._questions[number]
--- a/martenjunction/decisions/boxes/reading_demand.py
+++ b/martenjunction/decisions/boxes/reading_demand.py
@@ -1,30 +1,30 @@
-"""How many prompt tokens a service's requests ask its engines to read.
+"""Prefill demand of a service's requests.
 
-Answers a load in which long prompts burst, or engines are lost, while short
-streams run that may not pause: engines are divided between the two by what
-each asks for, not by fixed parts. Refused requests count, since a division by
-what was sent would keep refusing them.
+Long prompts may burst, or engines may be lost, while short streams run that
+tolerate no pauses. Engines are therefore divided between the two in proportion
+to the demand of each instead of by fixed fractions. Refused requests count as
+well: a division by what was sent would keep refusing them.
 """
 
 import dataclasses
 import math
 
-# Seconds after which a request counts a third in what is asked for. Bursts
-# last for 5 to 9 s, and boxes that tell each other each 0.2 to 0.5 s must come
-# to the same division.
+# Time constant in seconds of the exponential decay of the demand. Bursts last
+# for 5 to 9 s, and boxes that exchange their demand every 0.2 to 0.5 s must
+# arrive at the same division.
 MEMORY_S = 3.0
 
-# Seconds for which another box's word counts.
+# Seconds after which the demand reported by another box expires.
 PEER_LIFETIME_S = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadingRates:
-    """Prompt tokens that are asked to be read in a second.
+    """Prefill demand in prompt tokens per second.
 
     Attributes:
-        short: Of requests with short prompts.
-        long: Of requests with long ones.
+        short: Demand of requests with short prompts.
+        long: Demand of requests with long prompts.
     """
 
     short: float = 0.0
@@ -32,7 +32,7 @@
 
 
 class ReadingDemand:
-    """What all boxes' requests of one service ask to be read."""
+    """Prefill demand of one service's requests at all boxes."""
 
     def __init__(self) -> None:
         self._short = _Decaying()
@@ -40,25 +40,25 @@
         self._peers: dict[str, tuple[float, ReadingRates]] = {}
 
     def note(self, tokens: int, is_long: bool, now: float) -> None:
-        """Notes a request of this box.
+        """Records a request of this box.
 
         Args:
-            tokens: Prompt tokens that it needs to have read.
+            tokens: Prompt tokens that have to be prefilled for it.
             is_long: Whether its prompt is long.
             now: The current time.
         """
         (self._long if is_long else self._short).add(tokens, now)
 
     def own(self, now: float) -> ReadingRates:
-        """Returns what this box's requests ask for."""
+        """Returns the demand of this box."""
         return ReadingRates(self._short.rate(now), self._long.rate(now))
 
     def take_peer(self, box: str, rates: ReadingRates, now: float) -> None:
-        """Notes what another box's requests ask for."""
+        """Replaces the demand reported by another box."""
         self._peers[box] = (now, rates)
 
     def total(self, now: float) -> ReadingRates:
-        """Returns what the requests of all boxes that are heard ask for."""
+        """Returns the demand of all boxes with a current report."""
         for box, (heard, _) in list(self._peers.items()):
             if now - heard > PEER_LIFETIME_S:
                 del self._peers[box]
@@ -69,7 +69,7 @@
 
 
 class _Decaying:
-    """Tokens a second, recent ones weighing more."""
+    """Exponentially decaying rate in tokens per second."""
 
     def __init__(self) -> None:
         self._sum = 0.0
--- a/martenjunction/decisions/boxes/repeat_budget.py
+++ b/martenjunction/decisions/boxes/repeat_budget.py
@@ -1,16 +1,16 @@
-"""How many arrivals beyond the first a service may get."""
+"""Retry budget of each service."""
 
 import collections
 from collections.abc import Callable
 
-# Parts of the allowed repeats that one box uses: other boxes may see fewer
-# requests than we take them to, and a restarted box forgets its repeats.
+# Fractions of the allowed retries that one box uses: other boxes may receive
+# fewer requests than assumed, and a restarted box forgets its retries.
 RATIO_PART = 0.6
 ALLOWANCE_PART = 0.5
 
 
 class RepeatBudget:
-    """The repeats of one box, per service, within its share of the bound."""
+    """The retries of one box, limited by service to the box's share."""
 
     def __init__(
         self,
@@ -19,13 +19,13 @@
         window_s: float,
         boxes: Callable[[], int],
     ) -> None:
-        """Makes a budget.
+        """Initializes the budget.
 
         Args:
-            ratio: Repeats allowed for each request, over all boxes.
-            allowance: Repeats allowed besides, over all boxes.
-            window_s: Seconds over which both are counted.
-            boxes: Returns how many boxes there may be.
+            ratio: Retries allowed per request, over all boxes.
+            allowance: Retries allowed in addition, over all boxes.
+            window_s: Length in seconds of the sliding window for both.
+            boxes: Returns the maximum number of boxes.
         """
         self._ratio = ratio * RATIO_PART
         self._allowance = allowance * ALLOWANCE_PART
@@ -37,15 +37,15 @@
 
     @property
     def refused(self) -> int:
-        """Repeats that were asked for and not granted."""
+        """Number of retries that were not granted."""
         return self._refused
 
     def note_request(self, service: str, now: float) -> None:
-        """Books a request that came for a service."""
+        """Records a request for a service."""
         self._add(self._requests, service, now)
 
     def take(self, service: str, now: float) -> bool:
-        """Books a repeat if there is room for it; returns whether."""
+        """Consumes a retry if the budget allows it; returns whether it did."""
         requests = self._count(self._requests, service, now)
         repeats = self._count(self._repeats, service, now)
         share = self._allowance / max(1, self._boxes())
@@ -61,8 +61,8 @@
         service: str,
         now: float,
     ) -> None:
-        # Counted here too, so that a service without repeats keeps no more
-        # than a window.
+        # Drops expired entries, so that a service without retries keeps no more
+        # than one window.
         self._count(table, service, now)
         table[service].append(now)
 
--- a/martenjunction/decisions/boxes/shedding.py
+++ b/martenjunction/decisions/boxes/shedding.py
@@ -1,37 +1,37 @@
-"""Which requests are refused before any work is done for them."""
+"""Load shedding of requests before any work is done for them."""
 
 import dataclasses
 
-# Part of its target by which a request's predicted first event must be late
-# before it is refused: predictions are rough.
+# Fraction of its target that a request's predicted time to first event must
+# reach before it is refused. Predictions are imprecise.
 LATE_PART = 0.7
 
-# The same for one that comes back after a refusal. It is worth less than a new
-# one, but to refuse it again costs more; served late, it would only make new
-# ones late as well.
+# The same for a retry after a refusal. A retry is worth less than a new
+# request, but refusing it again costs more; serving it late would only delay
+# new requests as well.
 RETURN_LATE_PART = 1.0
 
-# Part of the longest deadline seen on a route below which a request is taken
-# to be one that comes back after a refusal.
+# Fraction of the longest deadline seen on a route below which a request is
+# taken to be a retry after a refusal.
 RETURN_DEADLINE_PART = 0.95
 
-# Part of an endpoint's places that must be taken before it counts as busy.
+# Fraction of an endpoint's slots that must be in use before it counts as busy.
 BUSY_PART = 0.5
 
-# Bounds of the time, in seconds, after which a refused client may come back.
+# Bounds in seconds of the delay after which a refused client may retry.
 SHORTEST_RETRY_S = 0.2
 LONGEST_RETRY_S = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prospect:
-    """What is expected of a request at the endpoint that suits it best.
+    """Forecast for a request at its best endpoint.
 
     Attributes:
-        predicted_s: Seconds to its first event.
-        target_s: Seconds within which its first event is due.
-        came_back: Whether it was refused before.
-        busy: Whether the endpoint has others waiting, or few places left.
+        predicted_s: Predicted seconds to the first event.
+        target_s: Target in seconds for the first event.
+        came_back: Whether the request is a retry after a refusal.
+        busy: Whether requests queue at the endpoint or few slots are left.
     """
 
     predicted_s: float
@@ -41,10 +41,10 @@
 
 
 def retry_after_s(prospect: Prospect) -> float | None:
-    """Returns when a request should come back, or None if it is taken.
+    """Returns the seconds until a retry, or None to admit the request.
 
-    A refused request costs its client time and may be refused again, so one
-    is refused only where it would come late and others wait already.
+    A refusal costs the client time and may be repeated, so a request is refused
+    only if it would be late and others already queue or run there.
     """
     if not prospect.busy:
         return None
@@ -56,22 +56,22 @@
 
 
 class DeadlineBook:
-    """The longest deadline seen on each route, which tells returns apart."""
+    """Longest deadline seen on each route, used to recognize retries."""
 
-    # Routes that are remembered; the oldest give way.
+    # Maximum number of routes; the oldest are evicted.
     MAX_ROUTES = 4096
 
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
     def came_back(self, route: str, deadline_s: float | None) -> bool:
-        """Notes a request's deadline; returns whether it came back.
+        """Records a request's deadline; returns whether it is a retry.
 
-        A client that comes back within its own time has less of it left.
+        A client that retries within its own time limit has less of it left.
 
         Args:
             route: The route's name.
-            deadline_s: Seconds that the client waits, or None.
+            deadline_s: Seconds for which the client waits, or None.
         """
         if deadline_s is None:
             return False
--- a/martenjunction/decisions/boxes/store_readers.py
+++ b/martenjunction/decisions/boxes/store_readers.py
@@ -1,9 +1,10 @@
-"""Which boxes read from the store, so that calls do not grow with the fleet.
+"""Election of the boxes that read from the store.
 
-One box of a group reads; the others ask it. There is no agreement and none is
-needed: a box that hears nothing fresh for too long reads for itself, and two
-readers cost some calls and nothing else. Boxes with wide links go first: a
-reader takes the whole configuration in at each confirmation.
+One box of a group reads and the others query it, so that store calls do not
+grow with the fleet. No agreement is needed: a box without fresh information for
+too long reads by itself, and a second reader only costs some calls. Boxes with
+fast links are preferred because a reader receives the whole configuration at
+each confirmation.
 """
 
 from collections.abc import Sequence
@@ -11,41 +12,41 @@
 
 from martenjunction.decisions import rendezvous
 
-# The key under which boxes are ranked.
+# Rendezvous hashing key that ranks boxes.
 RANK_KEY = "store reader"
 
-# Age in seconds of what a box knows at which it reads for itself, and by how
-# much each further rank waits longer, up to a rank. A reader confirms each
-# 0.6 s and is asked each 0.3 s, so ages stay below a second; changes must be
-# in force within two.
+# Age in seconds of a box's information at which it becomes a reader, the
+# additional delay per rank, and the highest rank that adds one. A reader
+# confirms every 0.6 s and is queried every 0.3 s, so ages stay below one
+# second; changes must be applied within two.
 STALE_S = 1.1
 STALE_STEP_S = 0.1
 LAST_STEP = 5
 
-# Seconds for which a box goes on reading once it has begun in place of another
-# one. One that just started stops as soon as it can rely on another.
+# Minimum seconds for which a box keeps reading after it took over from another
+# one. A newly started box stops as soon as it can rely on another.
 LEAST_READING_S = 3.0
 
-# Seconds between two questions of a reader for the newest configuration, at
-# least and at most, and the part of its link that their answers may take: 370
-# kB each 0.6 s fill a link of 5 Mbit/s.
+# Minimum and maximum seconds between a reader's queries for the newest
+# configuration, and the fraction of its link that the responses may use: 370 kB
+# every 0.6 s saturate a link of 5 Mbit/s.
 CONFIRM_INTERVAL_S = 0.6
 LONGEST_INTERVAL_S = 3.0
 CONFIRM_LINK_PART = 0.2
 
-# Age in seconds up to which a better ranked reader is relied upon.
+# Maximum age in seconds at which a higher-ranked reader is relied upon.
 FRESH_S = 0.9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerAge:
-    """What another box says of its reading.
+    """Reader state of another box.
 
     Attributes:
         box: The box.
-        reads: Whether it reads from the store and is answered.
-        age_s: Seconds since what it knows was confirmed, or None for never.
-        link_kb: Kilobytes a second that its link carries.
+        reads: Whether it reads from the store and gets responses.
+        age_s: Seconds since its information was confirmed, or None for never.
+        link_kb: Bandwidth of its link in kilobytes per second.
     """
 
     box: str
@@ -55,25 +56,25 @@
 
 
 def confirm_interval_s(document_bytes: int, link_bytes_s: float) -> float:
-    """Returns the seconds between two questions of a reader.
+    """Returns the seconds between two queries of a reader.
 
     Args:
-        document_bytes: Size of the configuration, which each answer brings.
-        link_bytes_s: Bytes a second that the reader's link carries.
+        document_bytes: Size of the configuration, which each response contains.
+        link_bytes_s: Bandwidth of the reader's link in bytes per second.
     """
     paced = document_bytes / (link_bytes_s * CONFIRM_LINK_PART)
     return min(max(CONFIRM_INTERVAL_S, paced), LONGEST_INTERVAL_S)
 
 
 class ReaderRole:
-    """Whether one box reads from the store."""
+    """Decides whether one box reads from the store."""
 
     def __init__(self, own: str, link_kb: int = 0) -> None:
-        """Makes a role; a box that just started reads.
+        """Initializes the role; a newly started box reads.
 
         Args:
             own: The box's name.
-            link_kb: Kilobytes a second that its link carries.
+            link_kb: Bandwidth of its link in kilobytes per second.
         """
         self._own = own
         self._link_kb = link_kb
@@ -83,17 +84,17 @@
 
     @property
     def first(self) -> bool:
-        """Whether the box is the first of its group."""
+        """Whether the box has the highest rank in its group."""
         return self._rank == 0
 
     def decide(
         self, peers: Sequence[PeerAge], own_age_s: float | None, now: float
     ) -> bool:
-        """Returns whether the box reads from now on.
+        """Updates the role; returns whether the box reads from now on.
 
         Args:
-            peers: The other boxes of its group that it is connected to.
-            own_age_s: Seconds since what it knows was confirmed, or None.
+            peers: The connected boxes of its group.
+            own_age_s: Seconds since its own information was confirmed, or None.
             now: The current time.
         """
         links = {peer.box: peer.link_kb for peer in peers}
--- a/martenjunction/decisions/boxes/suspect_table.py
+++ b/martenjunction/decisions/boxes/suspect_table.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected to end endpoints, and what is done with them."""
+"""Quarantine of requests that are suspected of crashing endpoints."""
 
 import collections
 from collections.abc import Iterator
@@ -9,48 +9,50 @@
 from martenjunction.decisions.boxes import suspicion
 from martenjunction.routing import request_content
 
-# Requests that are suspected, and how many of them one caller may have: beyond
-# that a caller's own least suspected one is forgotten.
+# Maximum number of suspects, and maximum per caller. Beyond the latter, the
+# caller's least suspected request is evicted.
 MAX_SUSPECTS = 1024
 MAX_OF_CALLER = 256
 
-# Requests that are remembered as answered, and for how many seconds that
-# speaks for them.
+# Maximum number of answered requests that are remembered, and the seconds for
+# which an answer counts in a request's favor.
 MAX_ANSWERED = 1024
 ANSWERED_S = 60.0
 
-# Ends needed at least where a request was answered before.
+# Minimum number of consecutive crashes before a request that was answered
+# recently is quarantined.
 LEAST_ENDS_IF_ANSWERED = 4
 
-# Ends side by side that stand for one in a row where more than the least are
-# needed: copies that come together end many endpoints before any is known.
+# Number of concurrent crashes that count as one consecutive crash where more
+# than the minimum are needed: copies of a request that arrive together crash
+# many endpoints before any crash is known.
 BESIDE_FOR_ONE = 2
 
-# Seconds for which others wait while one run of a suspect is tried.
+# Seconds for which other runs of a suspect wait during a trial.
 TRIAL_S = 1.0
 
-# Seconds after which a trial that is still running has outlived the runs under
-# which endpoints ended. Less than `TRIAL_S`, so that the other boxes are told
-# before their waits end.
+# Seconds after which a trial that is still running has lasted longer than the
+# runs whose endpoints crashed. Less than `TRIAL_S`, so that the other boxes are
+# notified before their waits expire.
 OUTLIVED_S = 0.8
 
-# Seconds after which a quarantined request is tried once more, how much longer
-# that is each time, and at most.
+# Back-off for trials of a quarantined request: initial delay in seconds, factor
+# per trial, and maximum delay in seconds.
 FIRST_RELEASE_S = 120.0
 RELEASE_FACTOR = 4.0
 LONGEST_RELEASE_S = 3600.0
 
-# Seconds without news after which a request is no longer suspected.
+# Seconds without a change after which a suspect is removed.
 FORGET_S = 300.0
 
 
 class Verdict(enum.Enum):
-    """What is done with a request.
+    """Treatment of a request.
 
     Attributes:
-        FREE: It is sent like any other one.
-        ALONE: It is sent as the only run of its content, apart from others.
-        WAIT: Another run of it is being tried.
+        FREE: It is sent like any other request.
+        ALONE: It is sent as the only run of its content, isolated from others.
+        WAIT: It waits, because another run of it is on trial.
         QUARANTINED: It is not sent.
     """
 
@@ -62,15 +64,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ruling:
-    """A verdict and what follows from it.
+    """A verdict with its parameters.
 
     Attributes:
         verdict: The verdict.
-        generation: Of the run, if it is sent.
-        epoch: In which it is sent.
-        again_s: Seconds after which the verdict may be another one.
-        avoid_builds: Builds to which it must not be sent.
-        trial: Number of the trial under which the run is sent; 0 if none.
+        generation: Generation of the run, if it is sent.
+        epoch: Epoch in which the run is sent.
+        again_s: Seconds after which the verdict may change.
+        avoid_builds: Builds to which the request must not be sent.
+        trial: Number of the trial to which the run belongs; 0 if none.
     """
 
     verdict: Verdict
@@ -83,13 +85,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """A suspected request, as one box knows it.
+    """A suspected request, as known to one box.
 
     Attributes:
-        key: The request.
-        held: What is held against it.
-        changed_at: When that changed last.
-        trial_until: Until when a run of it may be under way on its own.
+        key: The request's key.
+        held: The evidence against it.
+        changed_at: Time of the latest change of the evidence.
+        trial_until: Time until which a trial may be running.
     """
 
     key: request_content.ContentKey
@@ -99,10 +101,10 @@
 
 
 class SuspectTable:
-    """The suspected requests that one box knows."""
+    """The suspected requests known to one box."""
 
     def __init__(self) -> None:
-        """Makes an empty table."""
+        """Initializes an empty table."""
         self._suspects: dict[request_content.ContentKey, Suspect] = {}
         self._of_caller: collections.Counter[bytes] = collections.Counter()
         self._answered: collections.OrderedDict[
@@ -117,7 +119,7 @@
         return iter(self._suspects.values())
 
     def find(self, key: request_content.ContentKey) -> Suspect | None:
-        """Returns what is known of a request, or None."""
+        """Returns a suspect, or None if the request is not suspected."""
         return self._suspects.get(key)
 
     def judge(
@@ -126,11 +128,11 @@
         builds: frozenset[str],
         now: float,
     ) -> Ruling:
-        """Says what is to be done with a request; changes nothing.
+        """Returns the decision for a request without changing any state.
 
         Args:
-            key: The request.
-            builds: What runs at the endpoints that might get it.
+            key: The request's key.
+            builds: Builds of the endpoints that might receive the request.
             now: The current time.
         """
         suspect = self._suspects.get(key)
@@ -145,8 +147,9 @@
             return self._judge_quarantined(suspect, builds, now)
         if suspect.trial_until > now:
             return Ruling(Verdict.WAIT, again_s=suspect.trial_until - now)
-        # One outage ends many runs of a popular request at once; and a trial
-        # still running after `OUTLIVED_S` has outlived the first ones.
+        # A single outage ends many runs of a popular request at once, and a
+        # trial that is still running after `OUTLIVED_S` has lasted longer than
+        # the first runs.
         if generation == 2 and (held.outlived or self._was_answered(key, now)):
             return free
         return Ruling(Verdict.ALONE, generation, held.epoch)
@@ -162,7 +165,7 @@
                 Verdict.QUARANTINED, again_s=suspect.trial_until - now
             )
         if builds - held.builds:
-            # What runs there now may have mended it.
+            # A new build may have fixed the fault.
             return Ruling(
                 Verdict.ALONE,
                 generation,
@@ -176,14 +179,16 @@
     def ruling_after_wait(
         self, key: request_content.ContentKey, now: float
     ) -> Ruling | None:
-        """Returns the ruling for a request whose wait for a trial has expired.
+        """Returns the decision for a request after its wait has expired.
+
+        Requests wait while a trial of the same content is running.
 
         Args:
-            key: The request.
+            key: The request's key.
             now: The current time.
 
         Returns:
-            A ruling to send the request if it is not suspected or if this box
+            A decision to send the request if it is not suspected or if this box
             saw its content answered within `ANSWERED_S`; otherwise None.
         """
         suspect = self._suspects.get(key)
@@ -197,7 +202,7 @@
     def begin_trial(
         self, key: request_content.ContentKey, now: float
     ) -> Suspect | None:
-        """Notes that a run of a suspect begins on its own."""
+        """Records the start of a trial run of a suspect."""
         suspect = self._suspects.get(key)
         if suspect is None:
             return None
@@ -209,10 +214,10 @@
         return suspect
 
     def end_trial(self, key: request_content.ContentKey, trial: int) -> None:
-        """Notes that a trial was inconclusive, so that others need not wait.
+        """Ends an inconclusive trial, so that other runs stop waiting.
 
         Args:
-            key: The request.
+            key: The request's key.
             trial: The trial's number; a later trial is not affected.
         """
         suspect = self._suspects.get(key)
@@ -222,10 +227,10 @@
     def note_outlived(
         self, key: request_content.ContentKey, epoch: int
     ) -> Suspect | None:
-        """Notes that a trial is still running after `OUTLIVED_S`.
+        """Records that a trial is still running after `OUTLIVED_S`.
 
         Args:
-            key: The request.
+            key: The request's key.
             epoch: The epoch in which the trial began.
 
         Returns:
@@ -249,15 +254,18 @@
         build: str,
         now: float,
     ) -> Suspect | None:
-        """Notes that an endpoint ended under a run; returns what changed.
+        """Records that an endpoint crashed during a run.
 
         Args:
-            key: The request.
+            key: The request's key.
             service: The service.
             endpoint_id: The endpoint.
-            ruling: By which the run was sent.
-            build: What ran there.
+            ruling: The decision under which the run was sent.
+            build: The endpoint's build.
             now: The current time.
+
+        Returns:
+            The suspect if it changed, otherwise None.
         """
         self._hazard(service).ended(endpoint_id, now)
         suspect = self._suspects.get(key)
@@ -266,14 +274,14 @@
             suspect = self._add(key, suspicion.Suspicion(service), now)
             generation = 1
         elif suspect.held.epoch != ruling.epoch:
-            # What was held against it when the run began is void.
+            # The evidence from the start of the run has been cleared.
             generation = 1
         before = suspect.held.generation
         if not suspect.held.note_end(endpoint_id, generation, build):
             return None
         self._changed(suspect, before, now)
-        # The box where it ran decides for all: if any box might, the one that
-        # has seen the fewest ends of other runs would.
+        # Only the box that sent the run decides. If every box did, the one with
+        # the fewest observed crashes of other runs would decide for all.
         if suspect.held.generation >= self.ends_needed(suspect, now):
             suspect.held.quarantined = True
         return suspect
@@ -281,7 +289,16 @@
     def note_answer(
         self, key: request_content.ContentKey, service: str, now: float
     ) -> Suspect | None:
-        """Notes that an endpoint answered a run; returns what that cleared."""
+        """Records that an endpoint answered a run, which clears the request.
+
+        Args:
+            key: The request's key.
+            service: The service.
+            now: The current time.
+
+        Returns:
+            The suspect if it was cleared, otherwise None.
+        """
         self._hazard(service).answered(now)
         self._answered[key] = now
         self._answered.move_to_end(key)
@@ -292,7 +309,15 @@
     def clear(
         self, key: request_content.ContentKey, now: float
     ) -> Suspect | None:
-        """Clears a request; returns it if anything was held against it."""
+        """Clears the evidence against a request.
+
+        Args:
+            key: The request's key.
+            now: The current time.
+
+        Returns:
+            The suspect if there was any evidence, otherwise None.
+        """
         suspect = self._suspects.get(key)
         if suspect is None or not suspect.held.generation:
             return None
@@ -307,7 +332,16 @@
         held: suspicion.Suspicion,
         now: float,
     ) -> Suspect | None:
-        """Takes in what another box holds; returns what changed by it."""
+        """Merges the evidence of another box.
+
+        Args:
+            key: The request's key.
+            held: The evidence of the other box.
+            now: The current time.
+
+        Returns:
+            The suspect if it changed, otherwise None.
+        """
         suspect = self._suspects.get(key)
         if suspect is None:
             if not held.generation:
@@ -326,7 +360,7 @@
         return suspect
 
     def forget(self, now: float) -> None:
-        """Forgets what has lost its meaning."""
+        """Removes expired suspects."""
         for suspect in list(self._suspects.values()):
             held = suspect.held
             kept_s = LONGEST_RELEASE_S if held.quarantined else FORGET_S
@@ -334,7 +368,7 @@
                 self._remove(suspect)
 
     def ends_needed(self, suspect: Suspect, now: float) -> int:
-        """Returns how many ends in a row put a request in quarantine."""
+        """Returns how many consecutive crashes put a request in quarantine."""
         held = suspect.held
         needed = self._hazard(held.service).ends_needed(held.ends, now)
         least = endpoint_hazard.LEAST_ENDS
@@ -344,11 +378,11 @@
         return max(least, needed - max(0, beside) // BESIDE_FOR_ONE)
 
     def _changed(self, suspect: Suspect, before: int, now: float) -> None:
-        """Draws the conclusions from news of a suspect.
+        """Updates a suspect's times after a change of its evidence.
 
         Args:
             suspect: The suspect.
-            before: Its generation before the news.
+            before: Its generation before the change.
             now: The current time.
         """
         held = suspect.held
@@ -397,12 +431,12 @@
 
 
 def release_pause_s(held: suspicion.Suspicion) -> float:
-    """Returns the seconds until a quarantined request is tried once more."""
+    """Returns the delay in seconds until a quarantined request's next trial."""
     pause_s = FIRST_RELEASE_S * RELEASE_FACTOR**held.releases
     return min(pause_s, LONGEST_RELEASE_S)
 
 
 def weight(suspect: Suspect) -> tuple[bool, int, float]:
-    """Returns by what suspects are ordered, the least suspected one first."""
+    """Returns a sort key that orders the least suspected request first."""
     held = suspect.held
     return held.quarantined, held.generation, suspect.changed_at
--- a/martenjunction/decisions/boxes/suspicion.py
+++ b/martenjunction/decisions/boxes/suspicion.py
@@ -1,32 +1,34 @@
-"""What is held against a request under which endpoints ended.
+"""Evidence against a request whose runs coincided with endpoint crashes.
 
-All boxes of a fleet keep it and tell each other. It only grows until an answer
-clears the request, which begins a new epoch: so news may come twice, late and
-in any order, and all boxes still come to the same.
+All boxes of a fleet replicate the evidence. It only grows until an answer
+clears the request, which starts a new epoch. Merging is therefore idempotent
+and independent of the order of messages, and all boxes converge.
 """
 
 import dataclasses
 
-# Ends and builds that are remembered; those of the latest runs are kept.
+# Maximum number of remembered crashes and builds; those of the latest runs are
+# kept.
 MAX_ENDS = 8
 MAX_BUILDS = 8
 
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """What is held against one request, at one service.
+    """Evidence against one request at one service.
 
     Attributes:
         service: The service.
-        epoch: Rises each time that an answer clears the request.
-        ends: Endpoints that ended under runs of it in this epoch, by id, each
-            with the run's generation: 1 if no end was known when the run
-            began, else one more than the highest that was known. Runs side by
-            side, which one outage may end together, are of one generation.
-        builds: What ran at those endpoints: software and configuration.
-        tries: Runs that began on purpose, one at a time, in this epoch.
-        quarantined: Whether no box sends it to endpoints any more.
-        releases: How often time has let it be tried again since.
+        epoch: Incremented each time an answer clears the request.
+        ends: Generations of the runs in this epoch whose endpoints crashed, by
+            endpoint id. A run's generation is 1 if no crash was known when it
+            began, otherwise one more than the highest known generation.
+            Concurrent runs, which a single outage may end, have the same
+            generation.
+        builds: Builds of those endpoints: software and configuration.
+        tries: Number of trials, which run one at a time, in this epoch.
+        quarantined: Whether boxes have stopped sending the request.
+        releases: Number of trials allowed by expired back-off since then.
         outlived: Whether a trial in this epoch was still running after
             `suspect_table.OUTLIVED_S`.
     """
@@ -42,16 +44,19 @@
 
     @property
     def generation(self) -> int:
-        """Ends one after the other, each under a run begun after the last."""
+        """Number of consecutive crashes, each in a run begun after the last."""
         return max(self.ends.values(), default=0)
 
     def note_end(self, endpoint_id: str, generation: int, build: str) -> bool:
-        """Notes that an endpoint ended under a run; returns whether is news.
+        """Records that an endpoint crashed during a run.
 
         Args:
             endpoint_id: The endpoint.
-            generation: The run's.
-            build: What ran there.
+            generation: The run's generation.
+            build: The endpoint's build.
+
+        Returns:
+            Whether the evidence changed.
         """
         if self.ends.get(endpoint_id, 0) >= generation:
             return False
@@ -60,7 +65,7 @@
         return True
 
     def clear(self) -> None:
-        """Begins a new epoch, in which nothing is held against it."""
+        """Starts a new epoch without any evidence."""
         self.epoch += 1
         self.ends = {}
         self.builds = frozenset()
@@ -70,7 +75,7 @@
         self.outlived = False
 
     def merge(self, other: "Suspicion") -> bool:
-        """Takes in what another box holds; returns whether it is news."""
+        """Merges the evidence of another box; returns whether it changed."""
         if other.epoch < self.epoch:
             return False
         before = self._facts()
@@ -100,7 +105,7 @@
         for endpoint_id, generation in ends.items():
             known = self.ends.get(endpoint_id, 0)
             self.ends[endpoint_id] = max(known, generation)
-        # By name among equals, so that all boxes keep the same ones.
+        # Ties are broken by id, so that all boxes keep the same crashes.
         latest = sorted(self.ends.items(), key=lambda e: (-e[1], e[0]))
         self.ends = dict(latest[:MAX_ENDS])
 
--- a/martenjunction/decisions/boxes/tier_precedence.py
+++ b/martenjunction/decisions/boxes/tier_precedence.py
@@ -1,20 +1,20 @@
-"""Which tier goes first where all endpoints of a service name limits.
+"""Tier priority where all endpoints of a service are rate-limited.
 
-Grants go to whoever asks; without this a lower tier that asks more often would
-get more of them.
+Grants go to whichever request asks first. Without this priority, a lower tier
+that asks more often would receive more grants.
 """
 
 import dataclasses
 
-# Seconds for which lower tiers let those go first that were refused: their
-# callers come back within that time.
+# Seconds for which lower tiers yield after a refusal of a higher tier, whose
+# callers retry within that time.
 HELD_S = 1.0
 
-# Of so many requests of a lower tier one is not held back, so that each tier
+# One in this many requests of a lower tier is not held back, so that every tier
 # makes progress.
 SHARE_OF = 8
 
-# Services that are remembered; the oldest give way.
+# Maximum number of services; the oldest are evicted.
 MAX_SERVICES = 1024
 
 
@@ -25,17 +25,17 @@
 
 
 class TierPrecedence:
-    """One box's account of what was refused for want of grants."""
+    """One box's record of requests refused for lack of grants."""
 
     def __init__(self) -> None:
         self._services: dict[str, _Service] = {}
 
     def note_refused(self, service: str, tier: int, now: float) -> None:
-        """Notes that a request was refused, as no endpoint takes it.
+        """Records a request that was refused because no endpoint takes it.
 
         Args:
-            service: Its service.
-            tier: Its tier; 0 goes first.
+            service: The request's service.
+            tier: The request's tier; 0 has priority.
             now: The current time.
         """
         known = self._services.get(service)
@@ -46,11 +46,11 @@
         known.refused_at[tier] = now
 
     def holds_back(self, service: str, tier: int, now: float) -> bool:
-        """Returns whether a request lets those of a higher tier go first.
+        """Returns whether a request has to yield to higher tiers.
 
         Args:
-            service: Its service.
-            tier: Its tier.
+            service: The request's service.
+            tier: The request's tier.
             now: The current time.
         """
         known = self._services.get(service)
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -1,4 +1,4 @@
-"""What a box knows of endpoints' limits, and what holders grant."""
+"""Tests of the table of endpoint limits and of the grants for them."""
 
 import itertools
 
@@ -96,7 +96,7 @@
 def sends(
     limit: float, began: float, until: float, pauses: list[float]
 ) -> list[float]:
-    """Returns when a holder that is asked again and again grants."""
+    """Returns the times of a bucket's grants if it is asked repeatedly."""
     bucket = grant_bucket.GrantBucket(began)
     times = []
     now = began
@@ -121,7 +121,7 @@
 def test_two_holders_that_overlap_keep_to_what_a_limit_bears(
     limit: float, began: float, pauses: list[float]
 ) -> None:
-    # The first one is asked until all boxes know the second.
+    # The first bucket is used until all boxes know the holder of the second.
     overlap = began + grant_bucket.FIRST_S
     times = sends(limit, 0.0, overlap, pauses)
     times += sends(limit, began, 20.0, pauses[::-1])
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints: what is taken in, what lapses, what is gone."""
+"""Tests of the endpoint list: updates, grace periods and removals."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -96,7 +96,7 @@
 
 
 def test_box_that_others_kept_informed_gives_no_grace() -> None:
-    # The store turned this box away for long, while it served others.
+    # The store was unavailable to this box for long but responded to others.
     known = listed("e1")
     known.store_lost()
     known.store_returned(20.0, away_s=0.9)
--- a/tests/test_endpoint_loads.py
+++ b/tests/test_endpoint_loads.py
@@ -1,4 +1,4 @@
-"""What all boxes have at one endpoint: sums that are kept up to date."""
+"""Tests of the running totals of an endpoint's load."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine
@@ -21,7 +21,7 @@
 
 
 class Sums(RuleBasedStateMachine):
-    """Compares the sums with those counted anew from what was told."""
+    """Compares the totals with ones recomputed from all reports."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_engine_figures.py
+++ b/tests/test_engine_figures.py
@@ -1,4 +1,4 @@
-"""What is learnt of engines: rates and pauses, with other boxes."""
+"""Tests of engine profiles: estimates of rates and pauses, and their use."""
 
 import math
 import random
@@ -11,8 +11,8 @@
 from martenjunction.decisions.boxes import engine_figures
 from tests import routing_builders as builders
 
-# Seconds for each token while an engine reads piece after piece, and while it
-# reads nothing, as three engines of unlike kinds were measured.
+# Seconds per token during continuous prefill and without any prefill, as
+# measured on engines of different services.
 READING_S = {"first": 0.042, "second": 0.066}
 STEP_S = 0.0065
 
@@ -20,12 +20,12 @@
 def learner(
     reading_s: float, share: float = 0.1, pauses: int = 2000
 ) -> engine_figures.FiguresLearner:
-    """Returns a learner that saw streams beside prompts for a while.
+    """Returns an estimator that observed streams beside prompts.
 
     Args:
-        reading_s: Seconds a token takes while the engine reads on and on.
-        share: Part of the pauses for which it does.
-        pauses: How many pauses were seen.
+        reading_s: Seconds per token during continuous prefill.
+        share: Fraction of the pauses during continuous prefill.
+        pauses: Number of observed pauses.
     """
     rng = random.Random(4)
     learnt = engine_figures.FiguresLearner()
@@ -53,10 +53,10 @@
 
 
 def test_engines_of_unlike_kinds_are_told_apart() -> None:
-    # Symptom: short streams came late on engines of another kind, 78 of 403
-    # on a calm day, with a first event after 48 ms in the median. Sequence:
-    # three tokens an event waited for three pieces of 60 ms, beyond a pause
-    # of 200 ms. Cause: the time of a piece was a constant of other engines.
+    # Guards against a chunk time that is constant for all engines. With three
+    # tokens per event on slower engines, each event waited for three chunks of
+    # 60 ms and exceeded its pause limit of 200 ms: 78 of 403 short streams were
+    # late at low load, with a median time to first event of 48 ms.
     first = learner(READING_S["first"]).figures
     second = learner(READING_S["second"]).figures
     assert demand(first, 5, 0.25).reads_beside_streams
@@ -65,9 +65,9 @@
 
 
 def test_pause_is_remembered_while_little_is_read() -> None:
-    # Symptom: streams came late when prompts burst again. Sequence: a burst
-    # ended, fewer pieces followed each other, and the learnt pause fell from
-    # 79 to 52 ms a token. Cause: it was a quantile of the latest pauses.
+    # Guards against an estimate that is a quantile of the latest pauses. After
+    # a burst, fewer chunks followed each other and the estimate fell from 79 to
+    # 52 ms per token, so streams were late in the next burst.
     learnt = learner(READING_S["second"])
     rng = random.Random(5)
     for _ in range(400):
@@ -97,7 +97,7 @@
 def test_prompts_behind_others_do_not_make_an_engine_slow() -> None:
     learnt = engine_figures.FiguresLearner()
     for number in range(engine_figures.READS):
-        # Half of them wait for what other boxes sent, told too late.
+        # Half of them queue behind prompts that other boxes report too late.
         waits_s = 0.4 * (number % 2)
         learnt.prompt_read(9000, 9000 / 36_000 + 0.015 + waits_s)
     learnt.settle(0.0)
@@ -141,15 +141,14 @@
     assert learnt.figures.prefill_tokens_per_s in seen
 
 
-# What the figures decide.
+# Use of the profile by the endpoint choice.
 
 
 def test_long_prompt_avoids_streams_of_an_endpoint_no_longer_kept() -> None:
-    # Symptom: 25 short streams came late at once, several times a day.
-    # Sequence: short streams became fewer, one endpoint less was kept for
-    # them, and 16,450 unread tokens went to it beside the 25 that still ran.
-    # Cause: only the present set of kept endpoints was avoided. What settled
-    # it: choices of long prompts with "running" at 25 and a pause of 292 ms.
+    # Guards against avoiding only the currently reserved endpoints. When short
+    # streams became fewer, one endpoint lost its reservation and received a
+    # prompt with 16,450 tokens to prefill while 25 short streams still ran
+    # there. All of them were late, with a pause of 292 ms.
     records = [builders.record(f"e{n}") for n in range(5)]
     short = builders.demand()
     [kept] = endpoint_choice.kept_for_short(records, short, 10.0)
@@ -166,10 +165,10 @@
 
 
 def test_stream_with_the_shortest_pause_stays_short() -> None:
-    # Symptom: the longer ones of the short prompts came late, all of them.
-    # Sequence: 2,100 tokens counted as long and went among prompts that are
-    # read without a break. Cause: what a prompt holds up decided alone, and
-    # not that its own stream may not pause either.
+    # Guards against classifying prompts only by how much they delay other
+    # streams. Prompts of 2,100 tokens counted as long and were sent to engines
+    # with continuous prefill, where their own streams, which also have the
+    # shortest pause limit, were all late.
     prompt = (("s", 200), ("own", 2_800))
     assert builders.demand(prompt).is_long
     assert not builders.demand(prompt, pause_s=0.25).is_long
--- a/tests/test_reading_demand.py
+++ b/tests/test_reading_demand.py
@@ -1,4 +1,4 @@
-"""How engines are divided between long prompts and short streams."""
+"""Tests of the division of engines by prefill demand."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def kept(count: int, asked: reading_demand.ReadingRates, running: int) -> int:
-    """Returns how many of some engines are kept for short streams."""
+    """Returns how many of some engines are reserved for short streams."""
     records = [builders.record(f"e{number}") for number in range(count)]
     demand = builders.demand(asked=asked)
     records[0].loads.add(demand.load_key, running, 0)
@@ -21,19 +21,19 @@
 
 
 def test_long_prompts_that_burst_get_the_engines_that_they_ask_for() -> None:
-    # Symptom: most long prompts were refused or late while they burst and an
-    # engine was lost; engines kept for short streams read almost nothing.
-    # Sequence: 30 short streams held two of four engines, and 50,000 tokens a
-    # second were asked of the others. Cause: one engine was kept for each 14
-    # short streams, whatever long prompts asked for.
+    # Guards against reserving one engine per 14 short streams regardless of the
+    # demand of long prompts. With 30 short streams, two of four engines were
+    # reserved and nearly idle, while the others faced 50,000 tokens per second.
+    # In a burst and after the loss of an engine, most long prompts were refused
+    # or late.
     assert kept(4, RATES(8_000.0, 50_000.0), running=30) == 1
     assert kept(3, RATES(8_000.0, 50_000.0), running=30) == 1
     assert kept(5, RATES(18_000.0, 23_000.0), running=30) == 2
 
 
 def test_short_streams_find_places_where_they_are_kept_apart() -> None:
-    # 64 places an engine: more streams than three fifths of them need a second
-    # one, however little they ask to be read.
+    # Engines have 64 slots. Beyond three fifths of them, short streams need a
+    # second engine, however low their prefill demand is.
     assert kept(5, RATES(1_000.0, 50_000.0), running=38) == 1
     assert kept(5, RATES(1_000.0, 50_000.0), running=39) == 2
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under the id that they had."""
+"""Tests of endpoints that restart under the same id."""
 
 import asyncio
 import dataclasses
@@ -80,11 +80,11 @@
     assert known.ready_ids() == ["e1/2"]
 
 
-# With a box before stand-ins.
+# With a real box and fake replicas.
 
 
 async def started_again(fleet: boxes.Boxes, made: replica.Replica) -> str:
-    """Has a replica's entry say that it started again; returns the life."""
+    """Updates a replica's entry to a new incarnation; returns its id."""
     fleet.record(made, builders.PLAIN, born=2)
     now = f"{made.id}/2"
     box = fleet.gateways[0]
@@ -116,7 +116,7 @@
 async def test_what_ran_there_when_it_started_again_is_lost(
     fleet: boxes.Boxes, path: str, status: int
 ) -> None:
-    # The earlier life says nothing any more, and its connections stay open.
+    # The earlier incarnation does not respond, and its connections stay open.
     made = await with_one(fleet)
     made.plan(Behaviour.HANG)
     asking = asyncio.create_task(requests.ask(fleet, path))
@@ -170,12 +170,12 @@
     assert record.held([("aa", 100), ("bb", 400)]) == 500
     fleet.record(made, builders.ENGINE, born=2)
     await boxes.until(lambda: box.listed.may_send(f"{made.id}/2"))
-    # A copy of a run's memory is asked after by the life that holds it.
+    # Copies of a KV cache are requested from the incarnation that holds them.
     assert not box.listed.may_send(f"{made.id}/1")
     await requests.ask(fleet, "/chat/", "r2")
     fresh = box.book.records[f"{made.id}/2"]
     assert fresh is not record
-    # Its own part has to be read again.
+    # The request's own part has to be prefilled again.
     assert fresh.sent_tokens >= 400
 
 
--- a/tests/test_routing_decisions.py
+++ b/tests/test_routing_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions of the request path: choice, freshness, repeats, sheds."""
+"""Tests of the pure decisions of the request path."""
 
 import random
 
@@ -15,7 +15,7 @@
 from martenjunction.routing import endpoint_book
 from tests import routing_builders as builders
 
-# Freshness of keys.
+# Freshness of the configuration.
 
 
 def test_nothing_confirmed_covers_no_request() -> None:
@@ -32,7 +32,7 @@
     assert fresh.confirmed_at == 10.0
 
 
-# Repeats.
+# Retry budget.
 
 
 @given(
@@ -66,7 +66,7 @@
     assert len(budget._requests["s"]) <= 12
 
 
-# The choice of an endpoint.
+# Endpoint choice.
 
 
 def choose(
@@ -119,7 +119,7 @@
 
 
 def test_none_is_kept_free_where_streams_stay_in_time_beside_prompts() -> None:
-    # Five tokens an event, each of them behind a piece: 0.22 s of 0.25.
+    # Five tokens per event, each delayed by a chunk: 0.22 s of 0.25 s.
     demand = builders.demand(tokens_per_event=5)
     assert demand.reads_beside_streams
     assert endpoint_choice.kept_for_short(five(), demand, 10.0) == set()
@@ -144,7 +144,8 @@
     for record in records[:4]:
         record.loads.add(long.load_key, 1, 9000)
     assert choose(records, short) == "e4"
-    # However much is read, an event waits for a piece per token at most.
+    # However large the backlog is, an event waits for one chunk per token at
+    # most.
     records[0].loads.add(long.load_key, 9, 900_000)
     waits = records[0].predicted_s(short, 500, 10.0)
     assert waits < 0.3
@@ -155,7 +156,7 @@
 ):
     loads = builders.record().loads
     loads.add(builders.demand(urgency=3).load_key, 2, 0)
-    # Urgencies 2 and 3 are one tier, of two kinds of workspaces.
+    # Urgencies 2 and 3 belong to one route tier with two workspace tiers.
     assert loads.lower_tiers(2, 0.0) == 0
     assert loads.lower_tiers(1, 0.0) == 2
 
@@ -215,7 +216,7 @@
     assert record.held([("b", 600)]) == 600
 
 
-# Sheds.
+# Load shedding.
 
 
 def prospect(**changes: object) -> shedding.Prospect:
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -1,4 +1,4 @@
-"""Which boxes read from the store, and how the others learn."""
+"""Tests of the reader election and of updates through the reader."""
 
 from collections.abc import AsyncIterator
 
@@ -12,7 +12,7 @@
 
 
 def first_and_others(count: int) -> tuple[str, list[str]]:
-    """Returns the first of some boxes by rank, and the rest in order."""
+    """Returns the highest-ranked of some boxes, and the rest by rank."""
     names = [f"box-{number}" for number in range(count)]
     order = store_readers.rendezvous.ranked(names, store_readers.RANK_KEY)
     return order[0], order[1:]
@@ -23,7 +23,7 @@
 
 
 def settled(own: str, first: str) -> store_readers.ReaderRole:
-    """Returns the role of a box that relies on the first one."""
+    """Returns the role of a box that relies on the highest-ranked one."""
     role = store_readers.ReaderRole(own)
     role.decide([PeerAge(first, True, 0.1)], 0.1, 0.0)
     assert not role.decide([PeerAge(first, True, 0.1)], 0.1, 4.0)
@@ -92,7 +92,7 @@
     assert role.decide([PeerAge(first, False, 0.1)], 0.1, 20.0)
 
 
-# The same with real boxes before the stand-in of the store.
+# The same with real boxes and the fake store.
 
 
 @pytest.fixture
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""What is held against requests under which endpoints ended."""
+"""Tests of the evidence against requests and of their quarantine."""
 
 import copy
 import random
@@ -84,7 +84,7 @@
     assert held.generation == 29
 
 
-# How many ends are more than chance.
+# Number of crashes that lead to quarantine.
 
 
 def test_three_ends_suffice_where_others_are_answered() -> None:
@@ -99,7 +99,7 @@
     for number in range(20):
         hazard.ended(f"e{number}", 1.0)
     assert hazard.ends_needed((), 1.0) > 20
-    # What the request itself may explain does not speak for it.
+    # Crashes that the request may have caused do not count in its favor.
     explained = {f"e{number}" for number in range(20)}
     nothing_seen = endpoint_hazard.EndpointHazard().ends_needed((), 1.0)
     assert hazard.ends_needed(explained, 1.0) == nothing_seen
@@ -116,11 +116,11 @@
     assert hazard.ends_needed((), later) == endpoint_hazard.LEAST_ENDS
 
 
-# What is done with a request.
+# Decisions about a request.
 
 
 class Table:
-    """A box's table in which others are answered all the time."""
+    """A suspect table of a box on which other requests are answered."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -170,7 +170,7 @@
 
 
 def test_ends_side_by_side_are_one_in_a_row() -> None:
-    # Eight runs of one content at eight endpoints that one outage ends.
+    # A single outage ends eight runs of one content on eight endpoints.
     table = Table()
     ruling = table.judge(key())
     for number in range(8):
@@ -192,7 +192,8 @@
     table.end(key(), "e1")
     table.made.begin_trial(key(), table.now)
     table.now += suspect_table.TRIAL_S + 0.1
-    # Without a report that it is still running, the trial may have broken off.
+    # Without a report that it is still running, the trial may have been
+    # aborted.
     assert table.verdict(key()) is Verdict.ALONE
     assert table.made.note_outlived(key(), 0) is not None
     assert table.verdict(key()) is Verdict.FREE
@@ -297,7 +298,7 @@
     assert table.made.find(key(2)) is not None
 
 
-# What boxes tell each other.
+# Messages between boxes.
 
 
 @given(suspicions)
@@ -331,14 +332,14 @@
     assert [found for found, _ in suspect_news.decode(news)] == [key()]
 
 
-# Endpoints that end by themselves, one after the other.
+# Crashes that are independent of the request.
 
 
 def wrongly_quarantined(chance: float, draw: random.Random) -> int:
-    """Counts contents in quarantine, of 3,000 that run four times at most.
+    """Counts quarantined contents of 3,000 that run up to four times each.
 
-    Each run ends with its endpoint by chance, on one of nine boxes that have
-    seen 25 other runs each.
+    Each run ends by chance with a crash, on one of nine boxes that have seen 25
+    other runs each.
     """
     wrong = 0
     for _ in range(30):
@@ -375,9 +376,9 @@
 
 @pytest.mark.parametrize("chance", [0.05, 0.1, 0.2, 0.3, 0.5])
 def test_hardly_any_content_is_quarantined_by_chance(chance: float) -> None:
-    # On a day on which one of five engines ended each second, a content met
-    # three ends in a row and was quarantined: of nine boxes that counted the
-    # ends of other runs, from three to five were needed by count, and the box
-    # with the fewest decided for all ("needed": 3 there, 5 at the box where it
-    # ran).
+    # Guards against quarantine by chance on a day on which one of five engines
+    # crashed each second. Nine boxes, each with its own count of other crashed
+    # runs, required three to five consecutive crashes, and the box with the
+    # lowest threshold decided for all: a content was quarantined after three
+    # crashes, although the box that ran it required five.
     assert wrongly_quarantined(chance, random.Random(1)) <= 3
--- a/tests/test_tier_precedence.py
+++ b/tests/test_tier_precedence.py
@@ -1,4 +1,4 @@
-"""Which tier goes first where all endpoints of a service name limits."""
+"""Tests of tier priority where all endpoints are rate-limited."""
 
 import asyncio
 import time
@@ -13,7 +13,7 @@
 def held_back(
     made: tier_precedence.TierPrecedence, tier: int, now: float
 ) -> int:
-    """Returns how many of some requests of a tier are held back."""
+    """Returns how many of some requests of a tier have to yield."""
     return sum(
         made.holds_back("s", tier, now)
         for _ in range(2 * tier_precedence.SHARE_OF)
@@ -46,7 +46,8 @@
 async def test_request_of_a_higher_tier_gets_the_grant(
     fleet: boxes.Boxes,
 ) -> None:
-    # A lower tier asks twice as often: it got two of three grants.
+    # Without priority, a lower tier that asks twice as often got two thirds of
+    # the grants.
     config = builders.config_document(9)
     config["routes"][0]["priority"] = 0
     fleet.configure(config)
