--- a/martenjunction/decisions/boxes/endpoint_choice.py
+++ b/martenjunction/decisions/boxes/endpoint_choice.py
@@ -24,12 +24,12 @@
 # chunks in a row; above the second, long prompts queue for longer than their
 # own prefill takes. Endpoints are divided in proportion to the demand of each
 # kind divided by its fraction.
-SHORT_READING_PART = 0.4
-LONG_READING_PART = 0.7
+SHORT_PREFILL_FRACTION = 0.4
+LONG_PREFILL_FRACTION = 0.7
 
 # Fraction of the concurrency slots that short streams may fill on endpoints
 # reserved for them, and the maximum fraction of endpoints that may be reserved.
-SHORT_PLACES_PART = 0.6
+SHORT_SLOT_FRACTION = 0.6
 MOST_SHORT_PART = 0.5
 
 # Cost in seconds of a long prompt on an endpoint that runs short streams. The
@@ -38,13 +38,13 @@
 # the second value applies per short stream, because all streams there are
 # delayed at once. The third value is the minimum on a reserved endpoint, which
 # therefore costs as much as one with many short streams.
-LONG_BESIDE_SHORT_S = 0.15
+LONG_BESIDE_SHORT_COST_S = 0.15
 LONG_A_SHORT_STREAM_S = 0.15
-LONG_AMONG_SHORT_S = 3.0
-HELD_UP_PART = 0.25
+LONG_ON_RESERVED_COST_S = 3.0
+MAX_DELAY_FRACTION = 0.25
 
 # Cost in seconds of a short prompt on an endpoint that serves long prompts.
-SHORT_AMONG_LONG_S = 0.2
+SHORT_ON_UNRESERVED_COST_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -79,8 +79,8 @@
     @property
     def busy(self) -> bool:
         """Whether requests queue there or at least half its slots are used."""
-        places = shedding.BUSY_PART * self.record.slots
-        return self.ahead > 0 or self.running >= places
+        busy_slots = shedding.BUSY_FRACTION * self.record.slots
+        return self.ahead > 0 or self.running >= busy_slots
 
 
 def choose(
@@ -88,7 +88,7 @@
     demand: endpoint_records.Demand,
     now: float,
     rng: random.Random,
-    apart: bool = False,
+    isolated: bool = False,
 ) -> Choice | None:
     """Selects an endpoint for a request.
 
@@ -101,7 +101,7 @@
         demand: The request.
         now: The current time.
         rng: Breaks ties.
-        apart: Whether to consider only the healthy endpoints with the fewest
+        isolated: Whether to consider only the healthy endpoints with the fewest
             running requests.
 
     Returns:
@@ -111,26 +111,28 @@
     if not records:
         return None
     ejected = endpoint_states.EndpointState.EJECTED
-    sound = [r for r in records if r.health.state is not ejected]
-    if demand.repeatable and not apart:
-        trials = [r for r in records if r not in sound and r.may_get_work(now)]
-        if trials:
-            return weigh(rng.choice(trials), demand, False, now)
-    fit = [r for r in sound if r.may_get_work(now)] or sound or records
-    if apart:
-        fewest = min(r.loads.running(now) for r in fit)
-        fit = [r for r in fit if r.loads.running(now) <= fewest]
-    short: set[str] = set()
+    healthy = [r for r in records if r.health.state is not ejected]
+    if demand.repeatable and not isolated:
+        probes = [r for r in records if r not in healthy and r.is_eligible(now)]
+        if probes:
+            return weigh(rng.choice(probes), demand, False, now)
+    eligible = [r for r in healthy if r.is_eligible(now)] or healthy or records
+    if isolated:
+        fewest = min(r.loads.running(now) for r in eligible)
+        eligible = [r for r in eligible if r.loads.running(now) <= fewest]
+    reserved: set[str] = set()
     owner: str | None = None
     if demand.is_engine:
         # Rate-limited endpoints cannot take all requests of a kind, so they are
         # excluded from reservation and affinity.
-        homes = [r for r in fit if not r.limited] or fit
-        short = kept_for_short(homes, demand, now)
-        owner = _owner(homes, demand, short)
-    rng.shuffle(fit)
-    choices = [weigh(r, demand, r.id == owner, now) for r in fit]
-    return min(choices, key=lambda c: _cost_s(c, demand, c.record.id in short))
+        candidates = [r for r in eligible if not r.limited] or eligible
+        reserved = kept_for_short(candidates, demand, now)
+        owner = _affinity_owner(candidates, demand, reserved)
+    rng.shuffle(eligible)
+    choices = [weigh(r, demand, r.id == owner, now) for r in eligible]
+    return min(
+        choices, key=lambda c: _cost_s(c, demand, c.record.id in reserved)
+    )
 
 
 def kept_for_short(
@@ -154,19 +156,19 @@
     order = rendezvous.ranked(
         [r.id for r in records], f"short {demand.service}"
     )
-    short = demand.asked.short / SHORT_READING_PART
-    asked = short + demand.asked.long / LONG_READING_PART
-    count = round(len(order) * short / asked) if asked else 0
+    short = demand.asked.short / SHORT_PREFILL_FRACTION
+    total = short + demand.asked.long / LONG_PREFILL_FRACTION
+    count = round(len(order) * short / total) if total else 0
     running = sum(record.loads.short_running(now) for record in records)
-    places = sum(record.slots for record in records) / max(1, len(records))
-    count = max(1, count, math.ceil(running / (places * SHORT_PLACES_PART)))
+    slots = sum(record.slots for record in records) / max(1, len(records))
+    count = max(1, count, math.ceil(running / (slots * SHORT_SLOT_FRACTION)))
     return set(order[: min(count, int(len(order) * MOST_SHORT_PART))])
 
 
 def weigh(
     record: endpoint_records.EndpointRecord,
     demand: endpoint_records.Demand,
-    belongs: bool,
+    has_affinity: bool,
     now: float,
 ) -> Choice:
     """Returns the prediction for a request at one endpoint.
@@ -174,10 +176,10 @@
     Args:
         record: The endpoint.
         demand: The request.
-        belongs: Whether the endpoint has affinity for the request.
+        has_affinity: Whether the endpoint has affinity for the request.
         now: The current time.
     """
-    unread = record.unread(demand, belongs)
+    unread = record.unread(demand, has_affinity)
     return Choice(
         record,
         unread,
@@ -192,7 +194,7 @@
 
 
 def _cost_s(
-    choice: Choice, demand: endpoint_records.Demand, for_short: bool
+    choice: Choice, demand: endpoint_records.Demand, reserved: bool
 ) -> float:
     """Returns the cost of a choice in seconds."""
     record = choice.record
@@ -202,36 +204,38 @@
     if demand.is_engine:
         cost += choice.again * SHARED_TOKEN_COST_S
         if demand.is_long:
-            cost += _beside_short_s(choice, demand, for_short)
-        elif not for_short and not record.limited:
-            cost += SHORT_AMONG_LONG_S
+            cost += _long_cost_s(choice, demand, reserved)
+        elif not reserved and not record.limited:
+            cost += SHORT_ON_UNRESERVED_COST_S
     return cost
 
 
-def _beside_short_s(
-    choice: Choice, demand: endpoint_records.Demand, for_short: bool
+def _long_cost_s(
+    choice: Choice, demand: endpoint_records.Demand, reserved: bool
 ) -> float:
     """Returns the cost in seconds of a long prompt beside short streams.
 
     Short streams also count on an endpoint that is no longer reserved for them:
     a prefill of 16,450 tokens delayed all 25 streams that still ran there.
     """
-    if demand.reads_beside_streams or not (for_short or choice.short_running):
+    if demand.reads_beside_streams or not (reserved or choice.short_running):
         return 0.0
-    held_up_s = demand.figures.reading_s(choice.unread + choice.waiting)
-    if held_up_s <= HELD_UP_PART * (demand.shortest_pause_s or 0.0):
-        return LONG_BESIDE_SHORT_S
-    harm_s = choice.short_running * LONG_A_SHORT_STREAM_S
-    return max(harm_s, LONG_AMONG_SHORT_S if for_short else 0.0)
+    delay_s = demand.figures.prefill_s(choice.unread + choice.waiting)
+    if delay_s <= MAX_DELAY_FRACTION * (demand.shortest_pause_s or 0.0):
+        return LONG_BESIDE_SHORT_COST_S
+    streams_cost_s = choice.short_running * LONG_A_SHORT_STREAM_S
+    return max(streams_cost_s, LONG_ON_RESERVED_COST_S if reserved else 0.0)
 
 
-def _owner(
-    fit: list[endpoint_records.EndpointRecord],
+def _affinity_owner(
+    records: list[endpoint_records.EndpointRecord],
     demand: endpoint_records.Demand,
-    short: set[str],
+    reserved: set[str],
 ) -> str | None:
     """Returns the id of the endpoint with affinity for a request, or None."""
     if demand.subject is None:
         return None
-    matching = [r.id for r in fit if (r.id in short) is not demand.is_long]
-    return rendezvous.owner(matching or [r.id for r in fit], demand.subject)
+    matching = [
+        r.id for r in records if (r.id in reserved) is not demand.is_long
+    ]
+    return rendezvous.owner(matching or [r.id for r in records], demand.subject)
--- a/martenjunction/decisions/boxes/endpoint_limits.py
+++ b/martenjunction/decisions/boxes/endpoint_limits.py
@@ -13,8 +13,8 @@
 
 # Maximum number of remembered reports, and the seconds for which the removal of
 # a limit is remembered, so that a delayed report does not restore it.
-MAX_WORDS = 1024
-ENDED_LIFETIME_S = 60.0
+MAX_REPORTS = 1024
+REMOVAL_LIFETIME_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,7 +29,7 @@
 
     per_s: float | None
     since: float
-    closed_until: float = 0.0
+    blocked_until: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,21 +49,23 @@
     """The limits of all endpoints, as known to one box."""
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._reports: dict[str, Word] = {}
 
     @property
     def words(self) -> dict[str, Word]:
         """The latest report of each endpoint by id; read-only."""
-        return self._words
+        return self._reports
 
     def limited(self) -> list[str]:
         """Returns the ids of the endpoints with a limit."""
-        return [i for i, word in self._words.items() if word.per_s is not None]
+        return [
+            i for i, report in self._reports.items() if report.per_s is not None
+        ]
 
     def per_s(self, endpoint_id: str) -> float | None:
         """Returns a limit in requests per second, or None for no limit."""
-        word = self._words.get(endpoint_id)
-        return None if word is None else word.per_s
+        report = self._reports.get(endpoint_id)
+        return None if report is None else report.per_s
 
     def say(
         self,
@@ -88,9 +90,9 @@
             The change, or None if nothing changed.
         """
         per_s = grant_bucket.binding(per_s)
-        word = self._words.get(endpoint_id)
-        may_be_older = word is not None and asked_at < word.since
-        if may_be_older and not _binds_more(per_s, self.per_s(endpoint_id)):
+        report = self._reports.get(endpoint_id)
+        may_be_older = report is not None and asked_at < report.since
+        if may_be_older and not _is_stricter(per_s, self.per_s(endpoint_id)):
             return None
         return self._set(endpoint_id, per_s, now)
 
@@ -107,8 +109,8 @@
         Returns:
             The change, or None if nothing changed.
         """
-        word = self._words.get(endpoint_id)
-        if word is not None and since <= word.since:
+        report = self._reports.get(endpoint_id)
+        if report is not None and since <= report.since:
             return None
         return self._set(endpoint_id, grant_bucket.binding(per_s), since)
 
@@ -118,16 +120,16 @@
 
     def opens_in_s(self, endpoint_id: str, now: float) -> float:
         """Returns the seconds until this box may request a grant; 0 for now."""
-        word = self._words.get(endpoint_id)
-        if word is None or word.per_s is None:
+        report = self._reports.get(endpoint_id)
+        if report is None or report.per_s is None:
             return 0.0
-        return max(0.0, word.closed_until - now)
+        return max(0.0, report.blocked_until - now)
 
     def close(self, endpoint_id: str, until: float) -> None:
         """Stops this box from requesting grants until a given time."""
-        word = self._words.get(endpoint_id)
-        if word is not None:
-            word.closed_until = until
+        report = self._reports.get(endpoint_id)
+        if report is not None:
+            report.blocked_until = until
 
     def keep_only(self, listed: Container[str], now: float) -> None:
         """Removes expired reports.
@@ -136,29 +138,29 @@
             listed: Ids of the listed endpoints.
             now: The current time.
         """
-        gone = [
+        expired = [
             endpoint_id
-            for endpoint_id, word in self._words.items()
-            if now - word.since > ENDED_LIFETIME_S
-            and (word.per_s is None or endpoint_id not in listed)
+            for endpoint_id, report in self._reports.items()
+            if now - report.since > REMOVAL_LIFETIME_S
+            and (report.per_s is None or endpoint_id not in listed)
         ]
-        for endpoint_id in gone:
-            del self._words[endpoint_id]
+        for endpoint_id in expired:
+            del self._reports[endpoint_id]
 
     def _set(
         self, endpoint_id: str, per_s: float | None, since: float
     ) -> Change | None:
-        word = self._words.get(endpoint_id)
-        before = None if word is None else word.per_s
+        report = self._reports.get(endpoint_id)
+        before = None if report is None else report.per_s
         if per_s == before:
             return None
-        self._words.pop(endpoint_id, None)
-        while len(self._words) >= MAX_WORDS:
-            del self._words[next(iter(self._words))]
-        self._words[endpoint_id] = Word(per_s, since)
+        self._reports.pop(endpoint_id, None)
+        while len(self._reports) >= MAX_REPORTS:
+            del self._reports[next(iter(self._reports))]
+        self._reports[endpoint_id] = Word(per_s, since)
         return Change(before, per_s)
 
 
-def _binds_more(per_s: float | None, other: float | None) -> bool:
+def _is_stricter(per_s: float | None, other: float | None) -> bool:
     """Returns whether a limit is stricter than another one."""
     return per_s is not None and (other is None or per_s < other)
--- a/martenjunction/decisions/boxes/endpoint_list.py
+++ b/martenjunction/decisions/boxes/endpoint_list.py
@@ -24,13 +24,13 @@
 # entries may have lapsed. Endpoints write about every 1.2 s and their entries
 # are dropped after three missed writes, so no entry lapses in an outage of less
 # than 2.4 s. A box that takes over as reader has waited for at most 1.7 s.
-SHORTEST_LAPSE_S = 2.2
+MIN_LAPSE_OUTAGE_S = 2.2
 
 # Limits on the remembered state: removed entries with their last revision, so
 # that late updates do not add them again; ended endpoints, so that a restored
 # copy of the store does not add them again; restarted endpoints; and endpoints
 # that announced that they are leaving.
-MAX_GONE = 1024
+MAX_REMOVED = 1024
 MAX_ENDED = 1024
 MAX_RESTARTED = 256
 MAX_LEAVING = 1024
@@ -62,10 +62,10 @@
 
     def __init__(self) -> None:
         self._listed: dict[str, Listed] = {}
-        self._starts: dict[str, str] = {}
+        self._current_ids: dict[str, str] = {}
         self._restarted: dict[str, None] = {}
         self._leaving: dict[str, None] = {}
-        self._gone: dict[str, revisions.Revision] = {}
+        self._removed: dict[str, revisions.Revision] = {}
         self._ended: dict[str, revisions.Revision] = {}
         self._unconfirmed: dict[str, Listed] = {}
         self._unconfirmed_until = 0.0
@@ -95,7 +95,7 @@
     @property
     def names(self) -> Set[str]:
         """The names of all entries; read-only."""
-        return self._starts.keys()
+        return self._current_ids.keys()
 
     def restarted(self, endpoint_id: str) -> bool:
         """Returns whether an endpoint was lost because it restarted."""
@@ -151,7 +151,10 @@
             Ids of endpoints that may no longer receive requests as a result.
         """
         return self._take_all(
-            entries, set(), revision, lambda i: self._end(i, revision, now)
+            entries,
+            set(),
+            revision,
+            lambda i: self._handle_missing(i, revision, now),
         )
 
     def take_view(
@@ -179,13 +182,16 @@
             Ids of endpoints that may no longer receive requests as a result.
         """
 
-        def end(endpoint_id: str) -> list[str]:
+        def handle_missing(endpoint_id: str) -> list[str]:
             if now < self._restore_grace_until:
-                return self._end(endpoint_id, revision, now)
+                return self._handle_missing(endpoint_id, revision, now)
             return self._drop(endpoint_id, revision)
 
-        told = [(_told_by_box(e, ready), its) for e, its in changed]
-        return self._take_all(told, ready, revision, end)
+        reported = [
+            (_as_reported_by_box(e, ready), entry_revision)
+            for e, entry_revision in changed
+        ]
+        return self._take_all(reported, ready, revision, handle_missing)
 
     def begin_era(self, revision: revisions.Revision, now: float) -> None:
         """Handles a restore of the store from an older copy.
@@ -210,12 +216,12 @@
         if self._is_unconfirmed(endpoint.id, revision):
             self._unconfirmed[endpoint.id] = Listed(endpoint, revision)
             return []
-        known = self._listed.get(self._starts.get(endpoint.entry, ""))
-        if revision <= self._gone.get(endpoint.entry, revisions.NONE):
+        current = self._listed.get(self._current_ids.get(endpoint.entry, ""))
+        if revision <= self._removed.get(endpoint.entry, revisions.NONE):
             return []
-        if known is not None and known.revision > revision:
+        if current is not None and current.revision > revision:
             return []
-        ended = self._end_earlier(endpoint, known, revision)
+        removed = self._remove_previous(endpoint, current, revision)
         self._ended.pop(endpoint.id, None)
         self._unconfirmed.pop(endpoint.id, None)
         listed = self._listed.get(endpoint.id)
@@ -230,17 +236,19 @@
         if is_ready != was_ready:
             self._digest = None
         self._listed[endpoint.id] = Listed(endpoint, revision)
-        self._starts[endpoint.entry] = endpoint.id
-        return [*ended, endpoint.id] if was_ready and not is_ready else ended
+        self._current_ids[endpoint.entry] = endpoint.id
+        return (
+            [*removed, endpoint.id] if was_ready and not is_ready else removed
+        )
 
     def _is_unconfirmed(
         self, endpoint_id: str, revision: revisions.Revision
     ) -> bool:
         """Returns whether an entry of an ended endpoint was merely restored."""
-        ended = self._ended.get(endpoint_id)
+        ended_at = self._ended.get(endpoint_id)
         return (
-            ended is not None
-            and ended.era < revision.era
+            ended_at is not None
+            and ended_at.era < revision.era
             and revision <= self._era_start
         )
 
@@ -260,7 +268,9 @@
         for endpoint_id, unconfirmed in list(self._unconfirmed.items()):
             if unconfirmed.endpoint.entry == entry:
                 del self._unconfirmed[endpoint_id]
-        return self._end(self._starts.get(entry, ""), revision, now)
+        return self._handle_missing(
+            self._current_ids.get(entry, ""), revision, now
+        )
 
     def take_foreign(
         self, entry: str, revision: revisions.Revision
@@ -274,27 +284,27 @@
         Returns:
             Ids of endpoints that may no longer receive requests as a result.
         """
-        known = self._starts.get(entry)
-        return [] if known is None else self._drop(known, revision)
+        endpoint_id = self._current_ids.get(entry)
+        return [] if endpoint_id is None else self._drop(endpoint_id, revision)
 
-    def _end_earlier(
+    def _remove_previous(
         self,
         endpoint: model.Endpoint,
-        known: Listed | None,
+        current: Listed | None,
         revision: revisions.Revision,
     ) -> list[str]:
         """Removes a previous incarnation; returns its id in a list, if any."""
-        if known is None or known.endpoint.id == endpoint.id:
+        if current is None or current.endpoint.id == endpoint.id:
             return []
-        earlier = known.endpoint.id
-        self._remove(earlier, revision)
+        previous = current.endpoint.id
+        self._remove(previous, revision)
         while len(self._restarted) >= MAX_RESTARTED:
             del self._restarted[next(iter(self._restarted))]
-        self._restarted[earlier] = None
+        self._restarted[previous] = None
         self._restarted.pop(endpoint.id, None)
-        return [earlier]
+        return [previous]
 
-    def _end(
+    def _handle_missing(
         self, endpoint_id: str, revision: revisions.Revision, now: float
     ) -> list[str]:
         listed = self._listed.get(endpoint_id)
@@ -327,17 +337,17 @@
         return True
 
     def _unchanged_since_restore(
-        self, held: revisions.Revision, told: revisions.Revision
+        self, listed: revisions.Revision, reported: revisions.Revision
     ) -> bool:
         """Returns whether an entry has not been written since the restore.
 
         A revision of an earlier era then counts as newer than the entry.
 
         Args:
-            held: The revision of the listed entry.
-            told: The revision that another box reports.
+            listed: The revision of the listed entry.
+            reported: The revision that another box reports.
         """
-        return told.era < held.era and held <= self._era_start
+        return reported.era < listed.era and listed <= self._era_start
 
     def say_leaving(self, endpoint_id: str) -> bool:
         """Records that an endpoint itself announced that it is leaving.
@@ -383,7 +393,7 @@
                 any box.
         """
         self._store_lost = False
-        if away_s >= SHORTEST_LAPSE_S:
+        if away_s >= MIN_LAPSE_OUTAGE_S:
             self._grace_until = now + LAPSE_GRACE_S
 
     def expire(self, now: float) -> list[str]:
@@ -397,16 +407,16 @@
             self._accept_unconfirmed()
         if now < self._grace_until:
             return []
-        gone = [i for i, listed in self._listed.items() if listed.lapsed]
-        for endpoint_id in gone:
+        lapsed = [i for i, listed in self._listed.items() if listed.lapsed]
+        for endpoint_id in lapsed:
             self._remove(endpoint_id, self._revision)
-        return gone
+        return lapsed
 
     def _accept_unconfirmed(self) -> None:
         unconfirmed, self._unconfirmed = self._unconfirmed, {}
         for endpoint_id, entry in unconfirmed.items():
             self._ended.pop(endpoint_id, None)
-            if entry.endpoint.entry not in self._starts:
+            if entry.endpoint.entry not in self._current_ids:
                 self.take_change(entry.endpoint, entry.revision)
 
     def _take_all(
@@ -414,7 +424,7 @@
         entries: Iterable[tuple[model.Endpoint, revisions.Revision]],
         others: Set[str],
         revision: revisions.Revision,
-        end: Callable[[str], list[str]],
+        handle_missing: Callable[[str], list[str]],
     ) -> list[str]:
         """Applies entries and removes all endpoints that are not present.
 
@@ -422,7 +432,8 @@
             entries: Endpoints with the revisions of their entries.
             others: Ids of other endpoints that are present.
             revision: The store's revision of the entries.
-            end: Handles a missing endpoint; returns the ids that were removed.
+            handle_missing: Handles a missing endpoint; returns the ids that
+                were removed.
 
         Returns:
             Ids of endpoints that may no longer receive requests as a result.
@@ -430,16 +441,16 @@
         if revision < self._revision:
             return []
         present = set(others)
-        left: list[str] = []
-        for endpoint, its_revision in entries:
+        removed: list[str] = []
+        for endpoint, entry_revision in entries:
             present.add(endpoint.id)
-            left += self.take_change(endpoint, its_revision)
+            removed += self.take_change(endpoint, entry_revision)
         for missing in [i for i in self._listed if i not in present]:
-            left += end(missing)
+            removed += handle_missing(missing)
         for missing in [i for i in self._unconfirmed if i not in present]:
             del self._unconfirmed[missing]
         self._revision = revision
-        return left
+        return removed
 
     def _remove(self, endpoint_id: str, revision: revisions.Revision) -> None:
         if self.may_send(endpoint_id):
@@ -448,8 +459,8 @@
             del self._ended[next(iter(self._ended))]
         self._ended[endpoint_id] = revision
         entry = self._listed.pop(endpoint_id).endpoint.entry
-        if self._starts.get(entry) == endpoint_id:
-            del self._starts[entry]
+        if self._current_ids.get(entry) == endpoint_id:
+            del self._current_ids[entry]
 
     def _drop(
         self, endpoint_id: str, revision: revisions.Revision
@@ -458,13 +469,15 @@
         if listed.revision > revision:
             return []
         self._remove(endpoint_id, revision)
-        while len(self._gone) >= MAX_GONE:
-            del self._gone[next(iter(self._gone))]
-        self._gone[listed.endpoint.entry] = revision
+        while len(self._removed) >= MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
+        self._removed[listed.endpoint.entry] = revision
         return [endpoint_id]
 
 
-def _told_by_box(endpoint: model.Endpoint, ready: Set[str]) -> model.Endpoint:
+def _as_reported_by_box(
+    endpoint: model.Endpoint, ready: Set[str]
+) -> model.Endpoint:
     """Returns an endpoint in the state reported by another box.
 
     The box may know that the endpoint is leaving although its entry does not
--- a/martenjunction/decisions/boxes/endpoint_loads.py
+++ b/martenjunction/decisions/boxes/endpoint_loads.py
@@ -52,11 +52,11 @@
         self._own: dict[LoadKey, Load] = {}
         self._peers: dict[str, tuple[float, dict[LoadKey, Load]]] = {}
         self._total: dict[LoadKey, Load] = {}
-        self._all_running = 0
-        self._all_unread = 0
-        self._all_short = 0
+        self._total_running = 0
+        self._total_backlog = 0
+        self._total_short = 0
         # Lower bound of the times of all peer reports.
-        self._oldest = 0.0
+        self._oldest_report_at = 0.0
 
     @property
     def own(self) -> dict[LoadKey, Load]:
@@ -80,22 +80,22 @@
     ) -> None:
         """Replaces the load reported by another box."""
         _, before = self._peers.pop(box, (0.0, {}))
-        self._count(before, -1)
+        self._add_peer(before, -1)
         if loads:
             if not self._peers:
-                self._oldest = now
+                self._oldest_report_at = now
             self._peers[box] = (now, loads)
-            self._count(loads, 1)
+            self._add_peer(loads, 1)
 
     def running(self, now: float) -> int:
         """Returns the number of requests of all boxes."""
-        self._forget_old(now)
-        return self._all(self._all_running)
+        self._expire_peers(now)
+        return self._extrapolate(self._total_running)
 
     def short_running(self, now: float) -> int:
         """Returns the number of requests of all boxes with short prompts."""
-        self._forget_old(now)
-        return self._all(self._all_short)
+        self._expire_peers(now)
+        return self._extrapolate(self._total_short)
 
     def ahead(self, urgency: int, now: float) -> int:
         """Returns the prefill backlog in tokens that is served first.
@@ -104,8 +104,8 @@
             urgency: Urgency of the request that would queue.
             now: The current time.
         """
-        self._forget_old(now)
-        return self._all(
+        self._expire_peers(now)
+        return self._extrapolate(
             sum(
                 load.unread
                 for key, load in self._total.items()
@@ -120,7 +120,7 @@
             urgency: Urgency of the request to compare with.
             now: The current time.
         """
-        self._forget_old(now)
+        self._expire_peers(now)
         tier = urgency // WORKSPACE_TIERS
         return sum(
             load.running
@@ -130,14 +130,14 @@
 
     def waiting(self, now: float) -> int:
         """Returns the prefill backlog of all boxes in tokens."""
-        self._forget_old(now)
-        return self._all(self._all_unread)
+        self._expire_peers(now)
+        return self._extrapolate(self._total_backlog)
 
-    def _all(self, heard: int) -> int:
+    def _extrapolate(self, reported: int) -> int:
         """Extrapolates a total of the reporting boxes to all boxes."""
-        return round(heard * self.scale)
+        return round(reported * self.scale)
 
-    def _count(self, loads: dict[LoadKey, Load], sign: int) -> None:
+    def _add_peer(self, loads: dict[LoadKey, Load], sign: int) -> None:
         for key, load in loads.items():
             self._add_total(key, sign * load.running, sign * load.unread)
 
@@ -145,17 +145,20 @@
         total = self._total.setdefault(key, Load())
         total.running += running
         total.unread += unread
-        self._all_running += running
-        self._all_unread += unread
+        self._total_running += running
+        self._total_backlog += unread
         if not key.is_long:
-            self._all_short += running
+            self._total_short += running
 
-    def _forget_old(self, now: float) -> None:
-        if not self._peers or now - self._oldest < PEER_LOAD_LIFETIME_S:
+    def _expire_peers(self, now: float) -> None:
+        if (
+            not self._peers
+            or now - self._oldest_report_at < PEER_LOAD_LIFETIME_S
+        ):
             return
-        for box, (heard, loads) in list(self._peers.items()):
-            if now - heard >= PEER_LOAD_LIFETIME_S:
+        for box, (reported_at, loads) in list(self._peers.items()):
+            if now - reported_at >= PEER_LOAD_LIFETIME_S:
                 del self._peers[box]
-                self._count(loads, -1)
-        times = [heard for heard, _ in self._peers.values()]
-        self._oldest = min(times, default=now)
+                self._add_peer(loads, -1)
+        times = [reported_at for reported_at, _ in self._peers.values()]
+        self._oldest_report_at = min(times, default=now)
--- a/martenjunction/decisions/boxes/endpoint_records.py
+++ b/martenjunction/decisions/boxes/endpoint_records.py
@@ -14,21 +14,21 @@
 # Fraction of an engine's prefill rate up to which long prompts are sent to it.
 # While it prefills without a break, its streams get a token only after each
 # chunk, and long responses miss their deadline.
-READING_PART = 0.8
+MAX_LONG_RATE_FRACTION = 0.8
 
 # Fixed part of the time in seconds to a first event: the round trip, and the
 # tokens of one event.
-FIRST_EVENT_S = 0.03
+FIRST_EVENT_BASE_S = 0.03
 
 # Seconds of a tolerated pause reserved for delivery to the client.
 PAUSE_MARGIN_S = 0.015
 
 # Delay in seconds of a first token by each running request.
-STEP_S_PER_RUN = 0.001
+STEP_DELAY_S = 0.001
 
 # Delay in seconds of a first token by each request beyond the number of slots:
 # another request must complete first.
-OVER_SLOTS_S = 0.01
+QUEUE_DELAY_S = 0.01
 
 # Initial estimate in seconds of a plain service's response time.
 PLAIN_ANSWER_S = 0.03
@@ -38,7 +38,7 @@
 # be several times late because requests arrive at the same moment, not because
 # the engine is slow.
 SLOWNESS_WEIGHT = 0.05
-SLOWNESS_START = 19
+SLOWNESS_INITIAL_WEIGHT = 19
 
 # Urgency of requests to plain services.
 PLAIN_URGENCY = 0
@@ -113,18 +113,18 @@
         """
         if self.shortest_pause_s is None:
             return False
-        part = LONG_PAUSE_PART
+        fraction = LONG_PAUSE_FRACTION
         if self.pause_s is not None and self.pause_s <= self.shortest_pause_s:
-            part = LONG_ALONE_PART
-        reading_s = self.figures.reading_s(self.prompt_tokens)
-        return reading_s > part * self.shortest_pause_s
+            fraction = LONG_OWN_PAUSE_FRACTION
+        prefill_s = self.figures.prefill_s(self.prompt_tokens)
+        return prefill_s > fraction * self.shortest_pause_s
 
 
 # A prompt is long if its prefill takes more than this fraction of the shortest
 # pause limit of the service's streams. The second fraction applies if the
 # request's own stream has that limit.
-LONG_PAUSE_PART = 0.2
-LONG_ALONE_PART = 0.5
+LONG_PAUSE_FRACTION = 0.2
+LONG_OWN_PAUSE_FRACTION = 0.5
 
 
 class EndpointRecord:
@@ -149,7 +149,7 @@
         self.failures = estimates.Average(0.0, weight=0.15)
         self.answer_s = estimates.Average(PLAIN_ANSWER_S, weight=0.15)
         self.slowness = estimates.Average(
-            1.0, SLOWNESS_WEIGHT, start_counts=SLOWNESS_START
+            1.0, SLOWNESS_WEIGHT, start_counts=SLOWNESS_INITIAL_WEIGHT
         )
         self.health = endpoint_states.Health(
             endpoint_states.EndpointState.ROUTING
@@ -161,7 +161,7 @@
         self._parts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
         )
-        self._held_tokens = 0
+        self._cached_tokens = 0
         self._sent_tokens = 0
         self._peer_sent: dict[str, int] = {}
         self._debt = 0.0
@@ -186,7 +186,7 @@
 
     def debt(self, now: float) -> float:
         """Returns the tokens sent in excess of the rate for long prompts."""
-        rate = self.figures.prefill_tokens_per_s * READING_PART
+        rate = self.figures.prefill_tokens_per_s * MAX_LONG_RATE_FRACTION
         return max(0.0, self._debt - (now - self._debt_at) * rate)
 
     def _add_debt(self, tokens: int, now: float) -> None:
@@ -196,12 +196,12 @@
     def remember(self, parts: Iterable[tuple[str, int]]) -> None:
         """Records the parts of a prompt that the endpoint has prefilled."""
         for name, tokens in parts:
-            old = self._parts.pop(name, 0)
+            previous = self._parts.pop(name, 0)
             self._parts[name] = tokens
-            self._held_tokens += tokens - old
-        while self._held_tokens > self.cache_tokens and self._parts:
+            self._cached_tokens += tokens - previous
+        while self._cached_tokens > self.cache_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
-            self._held_tokens -= tokens
+            self._cached_tokens -= tokens
 
     def held(self, parts: Iterable[tuple[str, int]]) -> int:
         """Returns the number of a prompt's leading tokens probably cached."""
@@ -216,24 +216,24 @@
         """Returns whether the endpoint may be sent a request at all."""
         return self.refusals.accepts(self.loads.own_running, now)
 
-    def may_get_work(self, now: float) -> bool:
+    def is_eligible(self, now: float) -> bool:
         """Returns whether the endpoint is healthy or due for a probe."""
         if self.health.state is endpoint_states.EndpointState.EJECTED:
             return self.loads.own_running == 0 and self.health.trial_due(now)
         return not self.refusals.pauses(now)
 
-    def unread(self, demand: Demand, belongs: bool) -> int:
+    def unread(self, demand: Demand, has_affinity: bool) -> int:
         """Returns the prompt tokens that the endpoint would have to prefill.
 
         Args:
             demand: The request.
-            belongs: Whether the endpoint has affinity for the request, so that
-                another box has probably sent the shared parts already.
+            has_affinity: Whether the endpoint has affinity for the request, so
+                that another box has probably sent the shared parts already.
         """
-        held = self.held(demand.parts)
-        if belongs:
-            held = max(held, demand.shared_tokens)
-        return max(1, demand.prompt_tokens - held)
+        cached = self.held(demand.parts)
+        if has_affinity:
+            cached = max(cached, demand.shared_tokens)
+        return max(1, demand.prompt_tokens - cached)
 
     def predicted_s(self, demand: Demand, unread: int, now: float) -> float:
         """Predicts the seconds to the first event or to a plain response.
@@ -245,23 +245,25 @@
         """
         running = self.loads.running(now)
         if not demand.is_engine:
-            over = max(0.0, (running + 1 - self.slots) / self.slots)
-            return self.answer_s.value * (1 + over + 0.5 * running / self.slots)
+            excess = max(0.0, (running + 1 - self.slots) / self.slots)
+            return self.answer_s.value * (
+                1 + excess + 0.5 * running / self.slots
+            )
         expected_s = self._queue_s(demand, unread, now)
         if demand.reads_beside_streams and not demand.is_long:
-            expected_s += self._held_up_s(demand, now)
+            expected_s += self._interference_s(demand, now)
         return expected_s * self.slowness.value
 
-    def _held_up_s(self, demand: Demand, now: float) -> float:
+    def _interference_s(self, demand: Demand, now: float) -> float:
         """Returns the delay in seconds of a first event by later prefills.
 
         Each token of the event waits for a chunk that is prefilled beside it.
         """
-        beside = max(
+        later_tokens = max(
             0, self.loads.waiting(now) - self.loads.ahead(demand.urgency, now)
         )
         longest_s = demand.tokens_per_event * demand.figures.reading_token_s
-        return min(demand.figures.reading_s(beside), longest_s)
+        return min(demand.figures.prefill_s(later_tokens), longest_s)
 
     def _queue_s(self, demand: Demand, unread: int, now: float) -> float:
         """Predicts the seconds to a first event at an engine's usual speed.
@@ -275,7 +277,7 @@
         ahead = float(self.loads.ahead(demand.urgency, now))
         if demand.is_long:
             ahead = max(ahead, self.debt(now))
-        reading = demand.figures.reading_s(unread + ahead)
-        over = max(0, running + 1 - self.slots) * OVER_SLOTS_S
-        steps = running * STEP_S_PER_RUN
-        return FIRST_EVENT_S + reading + steps + over
+        prefill_s = demand.figures.prefill_s(unread + ahead)
+        queue_s = max(0, running + 1 - self.slots) * QUEUE_DELAY_S
+        steps_s = running * STEP_DELAY_S
+        return FIRST_EVENT_BASE_S + prefill_s + steps_s + queue_s
--- a/martenjunction/decisions/boxes/engine_figures.py
+++ b/martenjunction/decisions/boxes/engine_figures.py
@@ -15,21 +15,21 @@
 # reported for their engines, and streams that exceed every pause limit during
 # prefill. The latter is cautious because after a start of all boxes the caches
 # of the engines are empty and most prompts have to be prefilled.
-START_PREFILL_TOKENS_PER_S = 50_000.0
-START_READING_TOKEN_S = math.inf
+INITIAL_PREFILL_TOKENS_PER_S = 50_000.0
+INITIAL_TOKEN_INTERVAL_S = math.inf
 
 # Minimum prompt tokens for a useful observation of the prefill rate, and the
 # part of a first event in seconds that does not depend on the rate (network,
 # steps of one event).
-LEAST_READ_TOKENS = 2_000
-FIRST_STEPS_S = 0.015
+MIN_PREFILL_TOKENS = 2_000
+FIRST_EVENT_BASE_S = 0.015
 
 # Number of first events that are kept, the number needed before a box's own
 # estimate counts, and the quantile that is used. Load from other boxes that is
 # reported late makes single observations too low but never too high.
-READS = 64
+MAX_PREFILLS = 64
 ENOUGH_READS = 3
-RATE_PART = 0.9
+RATE_QUANTILE = 0.9
 
 # Pauses during prefill are grouped in blocks, and a box's own estimate counts
 # only after some blocks. The estimate is a high quantile of the latest blocks'
@@ -38,19 +38,19 @@
 # second.
 BLOCK_PAUSES = 64
 ENOUGH_BLOCKS = 3
-BLOCKS = 24
-PAUSE_PART = 0.97
-BLOCKS_PART = 0.9
+MAX_BLOCKS = 24
+PAUSE_QUANTILE = 0.97
+BLOCK_QUANTILE = 0.9
 
 # Quantile of the boxes' estimates that is used: a box that saw few prefills
 # underestimates both the pause and the rate.
-VOTES_PART = 0.75
+ESTIMATE_QUANTILE = 0.75
 
 # Relative change of an estimate above which it is logged.
-WORTH_TELLING = 0.1
+LOGGED_CHANGE = 0.1
 
 # Seconds after which the estimate of another box expires.
-PEER_FIGURES_LIFETIME_S = 5.0
+PEER_ESTIMATE_LIFETIME_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,17 +64,17 @@
             engine prefills prompts without a break.
     """
 
-    prefill_tokens_per_s: float = START_PREFILL_TOKENS_PER_S
-    reading_token_s: float = START_READING_TOKEN_S
+    prefill_tokens_per_s: float = INITIAL_PREFILL_TOKENS_PER_S
+    reading_token_s: float = INITIAL_TOKEN_INTERVAL_S
 
-    def reading_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Returns the time in seconds to prefill a number of prompt tokens."""
         return tokens / self.prefill_tokens_per_s
 
     def is_like(self, other: "EngineFigures") -> bool:
         """Returns whether the difference is too small to be logged."""
         return all(
-            math.isclose(mine, theirs, rel_tol=WORTH_TELLING)
+            math.isclose(mine, theirs, rel_tol=LOGGED_CHANGE)
             for mine, theirs in (
                 (self.prefill_tokens_per_s, other.prefill_tokens_per_s),
                 (self.reading_token_s, other.reading_token_s),
@@ -82,26 +82,26 @@
         )
 
 
-class _Pauses:
+class _PauseEstimator:
     """Upper quantiles of the latest blocks of observed pauses."""
 
     def __init__(self) -> None:
         self._block: list[float] = []
-        self._longest: collections.deque[float] = collections.deque(
-            maxlen=BLOCKS
+        self._quantiles: collections.deque[float] = collections.deque(
+            maxlen=MAX_BLOCKS
         )
 
     @property
-    def longest(self) -> float | None:
+    def estimate(self) -> float | None:
         """The estimated pause in seconds, or None with too few blocks."""
-        if len(self._longest) < ENOUGH_BLOCKS:
+        if len(self._quantiles) < ENOUGH_BLOCKS:
             return None
-        return _quantile(self._longest, BLOCKS_PART)
+        return _quantile(self._quantiles, BLOCK_QUANTILE)
 
     def add(self, pause_s: float) -> None:
         self._block.append(pause_s)
         if len(self._block) == BLOCK_PAUSES:
-            self._longest.append(_quantile(self._block, PAUSE_PART))
+            self._quantiles.append(_quantile(self._block, PAUSE_QUANTILE))
             self._block = []
 
 
@@ -122,8 +122,10 @@
     """
 
     def __init__(self) -> None:
-        self._rates: collections.deque[float] = collections.deque(maxlen=READS)
-        self._pauses = _Pauses()
+        self._rates: collections.deque[float] = collections.deque(
+            maxlen=MAX_PREFILLS
+        )
+        self._pauses = _PauseEstimator()
         self._own = LearntFigures()
         self._peers: dict[str, tuple[float, LearntFigures]] = {}
         self._figures = EngineFigures()
@@ -150,8 +152,8 @@
             tokens: Prompt tokens that certainly had to be prefilled.
             seconds: Time from sending the request to the first event.
         """
-        if tokens >= LEAST_READ_TOKENS and seconds > FIRST_STEPS_S:
-            self._rates.append(tokens / (seconds - FIRST_STEPS_S))
+        if tokens >= MIN_PREFILL_TOKENS and seconds > FIRST_EVENT_BASE_S:
+            self._rates.append(tokens / (seconds - FIRST_EVENT_BASE_S))
 
     def paused(self, token_s: float) -> None:
         """Records the time per token of a stream during prefill.
@@ -161,37 +163,41 @@
         """
         self._pauses.add(token_s)
 
-    def take_peer(self, box: str, learnt: LearntFigures, now: float) -> None:
+    def take_peer(self, box: str, estimate: LearntFigures, now: float) -> None:
         """Replaces the estimate of another box."""
-        self._peers[box] = (now, learnt)
+        self._peers[box] = (now, estimate)
 
     def settle(self, now: float) -> None:
         """Recomputes the profile and drops expired ones of other boxes."""
         rate = None
         if len(self._rates) >= ENOUGH_READS:
-            rate = _quantile(self._rates, RATE_PART)
-        self._own = LearntFigures(rate, self._pauses.longest)
-        for box, (heard, _) in list(self._peers.items()):
-            if now - heard > PEER_FIGURES_LIFETIME_S:
+            rate = _quantile(self._rates, RATE_QUANTILE)
+        self._own = LearntFigures(rate, self._pauses.estimate)
+        for box, (reported_at, _) in list(self._peers.items()):
+            if now - reported_at > PEER_ESTIMATE_LIFETIME_S:
                 del self._peers[box]
-        votes = [self._own, *(learnt for _, learnt in self._peers.values())]
-        before = self._figures
+        estimates = [
+            self._own,
+            *(estimate for _, estimate in self._peers.values()),
+        ]
+        previous = self._figures
         self._figures = EngineFigures(
-            _typical(
-                (vote.prefill_tokens_per_s for vote in votes),
-                before.prefill_tokens_per_s,
+            _combine(
+                (estimate.prefill_tokens_per_s for estimate in estimates),
+                previous.prefill_tokens_per_s,
             ),
-            _typical(
-                (vote.reading_token_s for vote in votes), before.reading_token_s
+            _combine(
+                (estimate.reading_token_s for estimate in estimates),
+                previous.reading_token_s,
             ),
         )
 
 
-def _quantile(values: Iterable[float], part: float) -> float:
+def _quantile(values: Iterable[float], quantile: float) -> float:
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
-def _typical(votes: Iterable[float | None], default: float) -> float:
-    known = [vote for vote in votes if vote is not None]
-    return _quantile(known, VOTES_PART) if known else default
+def _combine(estimates: Iterable[float | None], default: float) -> float:
+    known = [estimate for estimate in estimates if estimate is not None]
+    return _quantile(known, ESTIMATE_QUANTILE) if known else default
--- a/martenjunction/decisions/boxes/key_freshness.py
+++ b/martenjunction/decisions/boxes/key_freshness.py
@@ -27,7 +27,7 @@
         """
         self._lifetime_s = lifetime_s
         self._margin_s = margin_s
-        self._served_behind_s = change_s * SERVED_BEHIND_PART
+        self._max_lag_s = change_s * SERVED_BEHIND_PART
         self._confirmed_at: float | None = None
         self._newer: dict[int, float] = {}
 
@@ -74,9 +74,9 @@
             Seconds for which this box has known of a version that it did not
             have.
         """
-        behind_s = self.behind_s(now)
+        lag_s = self.behind_s(now)
         self._newer = {v: at for v, at in self._newer.items() if v > version}
-        return behind_s
+        return lag_s
 
     def nobody_has(self, above: int) -> None:
         """Drops versions that no connected box has.
@@ -104,7 +104,7 @@
         Args:
             now: The current time.
         """
-        return self.behind_s(now) > self._served_behind_s
+        return self.behind_s(now) > self._max_lag_s
 
     def covers(self, received_at: float) -> bool:
         """Returns whether keys may be accepted for a request.
--- a/martenjunction/decisions/boxes/peer_questions.py
+++ b/martenjunction/decisions/boxes/peer_questions.py
@@ -15,7 +15,7 @@
 # Initial and maximum seconds to wait for a response before another query is
 # sent. The wait doubles after each timeout. Later responses still count.
 FIRST_WAIT_S = 0.4
-LONGEST_WAIT_S = 1.6
+MAX_TIMEOUT_S = 1.6
 
 # Number of queries whose send time is remembered: at two per 0.4 s, those of
 # the last 12 s.
@@ -23,10 +23,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Question:
+class _Query:
     box: str
-    asked_at: float
-    wait_s: float
+    sent_at: float
+    timeout_s: float
     overdue: bool = False
 
 
@@ -34,9 +34,9 @@
     """In-flight queries of one box."""
 
     def __init__(self) -> None:
-        self._questions: dict[int, _Question] = {}
-        self._last = 0
-        self._wait_s = FIRST_WAIT_S
+        self._queries: dict[int, _Query] = {}
+        self._last_number = 0
+        self._timeout_s = FIRST_WAIT_S
 
     def ask(self, box: str, now: float) -> int | None:
         """Starts a query; returns its number, or None if it has to wait.
@@ -45,24 +45,28 @@
             box: The peer to be queried.
             now: The current time.
         """
-        under_way = [q for q in self._questions.values() if self._waits(q, now)]
-        if len(under_way) >= MOST_UNDER_WAY:
+        in_flight = [
+            query
+            for query in self._queries.values()
+            if self._is_pending(query, now)
+        ]
+        if len(in_flight) >= MOST_UNDER_WAY:
             return None
-        if any(question.box == box for question in under_way):
+        if any(query.box == box for query in in_flight):
             return None
-        self._last += 1
-        self._questions[self._last] = _Question(box, now, self._wait_s)
-        while len(self._questions) > MAX_REMEMBERED:
-            del self._questions[next(iter(self._questions))]
-        return self._last
+        self._last_number += 1
+        self._queries[self._last_number] = _Query(box, now, self._timeout_s)
+        while len(self._queries) > MAX_REMEMBERED:
+            del self._queries[next(iter(self._queries))]
+        return self._last_number
 
     def answered(self, number: int) -> float | None:
         """Completes a query; returns its send time, or None if unknown."""
-        question = self._questions.pop(number, None)
-        if question is None:
+        query = self._queries.pop(number, None)
+        if query is None:
             return None
-        self._wait_s = FIRST_WAIT_S
-        return question.asked_at
+        self._timeout_s = FIRST_WAIT_S
+        return query.sent_at
 
     def unanswered_by(self, now: float) -> set[str]:
         """Returns the peers with a recent query that they have not answered.
@@ -71,21 +75,25 @@
             now: The current time.
         """
         return {
-            question.box
-            for question in self._questions.values()
-            if now - question.asked_at < 2 * LONGEST_WAIT_S
+            query.box
+            for query in self._queries.values()
+            if now - query.sent_at < 2 * MAX_TIMEOUT_S
         }
 
     def lost(self, box: str) -> None:
         """Drops the queries to a peer whose connection was closed."""
-        gone = [n for n, q in self._questions.items() if q.box == box]
+        gone = [
+            number
+            for number, query in self._queries.items()
+            if query.box == box
+        ]
         for number in gone:
-            del self._questions[number]
+            del self._queries[number]
 
-    def _waits(self, question: _Question, now: float) -> bool:
-        if now - question.asked_at < question.wait_s:
+    def _is_pending(self, query: _Query, now: float) -> bool:
+        if now - query.sent_at < query.timeout_s:
             return True
-        if not question.overdue:
-            question.overdue = True
-            self._wait_s = min(2 * self._wait_s, LONGEST_WAIT_S)
+        if not query.overdue:
+            query.overdue = True
+            self._timeout_s = min(2 * self._timeout_s, MAX_TIMEOUT_S)
         return False
--- a/martenjunction/decisions/boxes/reading_demand.py
+++ b/martenjunction/decisions/boxes/reading_demand.py
@@ -12,7 +12,7 @@
 # Time constant in seconds of the exponential decay of the demand. Bursts last
 # for 5 to 9 s, and boxes that exchange their demand every 0.2 to 0.5 s must
 # arrive at the same division.
-MEMORY_S = 3.0
+DECAY_S = 3.0
 
 # Seconds after which the demand reported by another box expires.
 PEER_LIFETIME_S = 1.5
@@ -35,8 +35,8 @@
     """Prefill demand of one service's requests at all boxes."""
 
     def __init__(self) -> None:
-        self._short = _Decaying()
-        self._long = _Decaying()
+        self._short = _DecayingRate()
+        self._long = _DecayingRate()
         self._peers: dict[str, tuple[float, ReadingRates]] = {}
 
     def note(self, tokens: int, is_long: bool, now: float) -> None:
@@ -59,16 +59,19 @@
 
     def total(self, now: float) -> ReadingRates:
         """Returns the demand of all boxes with a current report."""
-        for box, (heard, _) in list(self._peers.items()):
-            if now - heard > PEER_LIFETIME_S:
+        for box, (reported_at, _) in list(self._peers.items()):
+            if now - reported_at > PEER_LIFETIME_S:
                 del self._peers[box]
-        rates = [self.own(now), *(told for _, told in self._peers.values())]
+        rates = [
+            self.own(now),
+            *(reported for _, reported in self._peers.values()),
+        ]
         return ReadingRates(
             sum(rate.short for rate in rates), sum(rate.long for rate in rates)
         )
 
 
-class _Decaying:
+class _DecayingRate:
     """Exponentially decaying rate in tokens per second."""
 
     def __init__(self) -> None:
@@ -76,11 +79,11 @@
         self._at = -math.inf
 
     def add(self, tokens: int, now: float) -> None:
-        self._sum = self._left(now) + tokens
+        self._sum = self._remaining(now) + tokens
         self._at = now
 
     def rate(self, now: float) -> float:
-        return self._left(now) / MEMORY_S
+        return self._remaining(now) / DECAY_S
 
-    def _left(self, now: float) -> float:
-        return self._sum * math.exp(min(0.0, self._at - now) / MEMORY_S)
+    def _remaining(self, now: float) -> float:
+        return self._sum * math.exp(min(0.0, self._at - now) / DECAY_S)
--- a/martenjunction/decisions/boxes/repeat_budget.py
+++ b/martenjunction/decisions/boxes/repeat_budget.py
@@ -5,8 +5,8 @@
 
 # Fractions of the allowed retries that one box uses: other boxes may receive
 # fewer requests than assumed, and a restarted box forgets its retries.
-RATIO_PART = 0.6
-ALLOWANCE_PART = 0.5
+RATIO_FRACTION = 0.6
+ALLOWANCE_FRACTION = 0.5
 
 
 class RepeatBudget:
@@ -27,12 +27,12 @@
             window_s: Length in seconds of the sliding window for both.
             boxes: Returns the maximum number of boxes.
         """
-        self._ratio = ratio * RATIO_PART
-        self._allowance = allowance * ALLOWANCE_PART
+        self._ratio = ratio * RATIO_FRACTION
+        self._allowance = allowance * ALLOWANCE_FRACTION
         self._window_s = window_s
         self._boxes = boxes
         self._requests: dict[str, collections.deque[float]] = {}
-        self._repeats: dict[str, collections.deque[float]] = {}
+        self._retries: dict[str, collections.deque[float]] = {}
         self._refused = 0
 
     @property
@@ -47,12 +47,12 @@
     def take(self, service: str, now: float) -> bool:
         """Consumes a retry if the budget allows it; returns whether it did."""
         requests = self._count(self._requests, service, now)
-        repeats = self._count(self._repeats, service, now)
+        retries = self._count(self._retries, service, now)
         share = self._allowance / max(1, self._boxes())
-        if repeats + 1 > requests * self._ratio + share:
+        if retries + 1 > requests * self._ratio + share:
             self._refused += 1
             return False
-        self._add(self._repeats, service, now)
+        self._add(self._retries, service, now)
         return True
 
     def _add(
--- a/martenjunction/decisions/boxes/shedding.py
+++ b/martenjunction/decisions/boxes/shedding.py
@@ -4,23 +4,23 @@
 
 # Fraction of its target that a request's predicted time to first event must
 # reach before it is refused. Predictions are imprecise.
-LATE_PART = 0.7
+LATE_FRACTION = 0.7
 
 # The same for a retry after a refusal. A retry is worth less than a new
 # request, but refusing it again costs more; serving it late would only delay
 # new requests as well.
-RETURN_LATE_PART = 1.0
+RETRY_LATE_FRACTION = 1.0
 
 # Fraction of the longest deadline seen on a route below which a request is
 # taken to be a retry after a refusal.
-RETURN_DEADLINE_PART = 0.95
+RETRY_DEADLINE_FRACTION = 0.95
 
 # Fraction of an endpoint's slots that must be in use before it counts as busy.
-BUSY_PART = 0.5
+BUSY_FRACTION = 0.5
 
 # Bounds in seconds of the delay after which a refused client may retry.
-SHORTEST_RETRY_S = 0.2
-LONGEST_RETRY_S = 1.5
+MIN_RETRY_S = 0.2
+MAX_RETRY_S = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,11 +48,11 @@
     """
     if not prospect.busy:
         return None
-    part = RETURN_LATE_PART if prospect.came_back else LATE_PART
-    if prospect.predicted_s < part * prospect.target_s:
+    fraction = RETRY_LATE_FRACTION if prospect.came_back else LATE_FRACTION
+    if prospect.predicted_s < fraction * prospect.target_s:
         return None
     excess = prospect.predicted_s - 0.5 * prospect.target_s
-    return min(max(excess, SHORTEST_RETRY_S), LONGEST_RETRY_S)
+    return min(max(excess, MIN_RETRY_S), MAX_RETRY_S)
 
 
 class DeadlineBook:
@@ -81,4 +81,4 @@
                 self._longest.pop(next(iter(self._longest)))
             self._longest[route] = deadline_s
             return False
-        return deadline_s < RETURN_DEADLINE_PART * longest
+        return deadline_s < RETRY_DEADLINE_FRACTION * longest
--- a/martenjunction/decisions/boxes/store_readers.py
+++ b/martenjunction/decisions/boxes/store_readers.py
@@ -21,18 +21,18 @@
 # second; changes must be applied within two.
 STALE_S = 1.1
 STALE_STEP_S = 0.1
-LAST_STEP = 5
+MAX_STEPS = 5
 
 # Minimum seconds for which a box keeps reading after it took over from another
 # one. A newly started box stops as soon as it can rely on another.
-LEAST_READING_S = 3.0
+MIN_READING_S = 3.0
 
 # Minimum and maximum seconds between a reader's queries for the newest
 # configuration, and the fraction of its link that the responses may use: 370 kB
 # every 0.6 s saturate a link of 5 Mbit/s.
 CONFIRM_INTERVAL_S = 0.6
 LONGEST_INTERVAL_S = 3.0
-CONFIRM_LINK_PART = 0.2
+CONFIRM_LINK_FRACTION = 0.2
 
 # Maximum age in seconds at which a higher-ranked reader is relied upon.
 FRESH_S = 0.9
@@ -62,7 +62,7 @@
         document_bytes: Size of the configuration, which each response contains.
         link_bytes_s: Bandwidth of the reader's link in bytes per second.
     """
-    paced = document_bytes / (link_bytes_s * CONFIRM_LINK_PART)
+    paced = document_bytes / (link_bytes_s * CONFIRM_LINK_FRACTION)
     return min(max(CONFIRM_INTERVAL_S, paced), LONGEST_INTERVAL_S)
 
 
@@ -80,7 +80,7 @@
         self._link_kb = link_kb
         self._rank = 0
         self._reads = True
-        self._since: float | None = None
+        self._reading_since: float | None = None
 
     @property
     def first(self) -> bool:
@@ -108,21 +108,24 @@
             )
         elif self._rank == 0 or self._is_stale(own_age_s):
             self._reads = True
-            self._since = now
+            self._reading_since = now
         return self._reads
 
     def _is_stale(self, own_age_s: float | None) -> bool:
-        limit = STALE_S + STALE_STEP_S * min(self._rank, LAST_STEP)
+        limit = STALE_S + STALE_STEP_S * min(self._rank, MAX_STEPS)
         return own_age_s is None or own_age_s > limit
 
     def _keeps_reading(
         self, order: list[str], peers: Sequence[PeerAge], now: float
     ) -> bool:
-        if self._since is not None and now - self._since < LEAST_READING_S:
+        if (
+            self._reading_since is not None
+            and now - self._reading_since < MIN_READING_S
+        ):
             return True
-        better = set(order[: self._rank])
+        higher_ranked = set(order[: self._rank])
         return not any(
             peer.reads and peer.age_s is not None and peer.age_s <= FRESH_S
             for peer in peers
-            if peer.box in better
+            if peer.box in higher_ranked
         )
--- a/martenjunction/decisions/boxes/suspect_table.py
+++ b/martenjunction/decisions/boxes/suspect_table.py
@@ -12,7 +12,7 @@
 # Maximum number of suspects, and maximum per caller. Beyond the latter, the
 # caller's least suspected request is evicted.
 MAX_SUSPECTS = 1024
-MAX_OF_CALLER = 256
+MAX_SUSPECTS_PER_CALLER = 256
 
 # Maximum number of answered requests that are remembered, and the seconds for
 # which an answer counts in a request's favor.
@@ -21,12 +21,12 @@
 
 # Minimum number of consecutive crashes before a request that was answered
 # recently is quarantined.
-LEAST_ENDS_IF_ANSWERED = 4
+MIN_CRASHES_IF_ANSWERED = 4
 
 # Number of concurrent crashes that count as one consecutive crash where more
 # than the minimum are needed: copies of a request that arrive together crash
 # many endpoints before any crash is known.
-BESIDE_FOR_ONE = 2
+CONCURRENT_PER_CONSECUTIVE = 2
 
 # Seconds for which other runs of a suspect wait during a trial.
 TRIAL_S = 1.0
@@ -40,10 +40,10 @@
 # per trial, and maximum delay in seconds.
 FIRST_RELEASE_S = 120.0
 RELEASE_FACTOR = 4.0
-LONGEST_RELEASE_S = 3600.0
+MAX_RELEASE_S = 3600.0
 
 # Seconds without a change after which a suspect is removed.
-FORGET_S = 300.0
+SUSPECT_LIFETIME_S = 300.0
 
 
 class Verdict(enum.Enum):
@@ -106,11 +106,13 @@
     def __init__(self) -> None:
         """Initializes an empty table."""
         self._suspects: dict[request_content.ContentKey, Suspect] = {}
-        self._of_caller: collections.Counter[bytes] = collections.Counter()
+        self._counts_by_caller: collections.Counter[bytes] = (
+            collections.Counter()
+        )
         self._answered: collections.OrderedDict[
             request_content.ContentKey, float
         ] = collections.OrderedDict()
-        self._hazards: dict[str, endpoint_hazard.EndpointHazard] = {}
+        self._crash_rates: dict[str, endpoint_hazard.EndpointHazard] = {}
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -138,43 +140,45 @@
         suspect = self._suspects.get(key)
         if suspect is None:
             return Ruling(Verdict.FREE)
-        held = suspect.held
-        generation = held.generation + 1
-        free = Ruling(Verdict.FREE, generation, held.epoch)
+        evidence = suspect.held
+        generation = evidence.generation + 1
+        free = Ruling(Verdict.FREE, generation, evidence.epoch)
         if generation == 1:
             return free
-        if held.quarantined:
-            return self._judge_quarantined(suspect, builds, now)
+        if evidence.quarantined:
+            return self._decide_quarantined(suspect, builds, now)
         if suspect.trial_until > now:
             return Ruling(Verdict.WAIT, again_s=suspect.trial_until - now)
         # A single outage ends many runs of a popular request at once, and a
         # trial that is still running after `OUTLIVED_S` has lasted longer than
         # the first runs.
-        if generation == 2 and (held.outlived or self._was_answered(key, now)):
+        if generation == 2 and (
+            evidence.outlived or self._was_answered(key, now)
+        ):
             return free
-        return Ruling(Verdict.ALONE, generation, held.epoch)
+        return Ruling(Verdict.ALONE, generation, evidence.epoch)
 
-    def _judge_quarantined(
+    def _decide_quarantined(
         self, suspect: Suspect, builds: frozenset[str], now: float
     ) -> Ruling:
-        held = suspect.held
-        generation = held.generation + 1
-        release_s = suspect.changed_at + release_pause_s(held) - now
+        evidence = suspect.held
+        generation = evidence.generation + 1
+        delay_s = suspect.changed_at + release_delay_s(evidence) - now
         if suspect.trial_until > now:
             return Ruling(
                 Verdict.QUARANTINED, again_s=suspect.trial_until - now
             )
-        if builds - held.builds:
+        if builds - evidence.builds:
             # A new build may have fixed the fault.
             return Ruling(
                 Verdict.ALONE,
                 generation,
-                held.epoch,
-                avoid_builds=held.builds,
+                evidence.epoch,
+                avoid_builds=evidence.builds,
             )
-        if release_s <= 0:
-            return Ruling(Verdict.ALONE, generation, held.epoch)
-        return Ruling(Verdict.QUARANTINED, again_s=release_s)
+        if delay_s <= 0:
+            return Ruling(Verdict.ALONE, generation, evidence.epoch)
+        return Ruling(Verdict.QUARANTINED, again_s=delay_s)
 
     def ruling_after_wait(
         self, key: request_content.ContentKey, now: float
@@ -196,8 +200,8 @@
             return Ruling(Verdict.FREE)
         if suspect.held.quarantined or not self._was_answered(key, now):
             return None
-        held = suspect.held
-        return Ruling(Verdict.ALONE, held.generation + 1, held.epoch)
+        evidence = suspect.held
+        return Ruling(Verdict.ALONE, evidence.generation + 1, evidence.epoch)
 
     def begin_trial(
         self, key: request_content.ContentKey, now: float
@@ -250,7 +254,7 @@
         key: request_content.ContentKey,
         service: str,
         endpoint_id: str,
-        ruling: Ruling,
+        decision: Ruling,
         build: str,
         now: float,
     ) -> Suspect | None:
@@ -260,26 +264,26 @@
             key: The request's key.
             service: The service.
             endpoint_id: The endpoint.
-            ruling: The decision under which the run was sent.
+            decision: The decision under which the run was sent.
             build: The endpoint's build.
             now: The current time.
 
         Returns:
             The suspect if it changed, otherwise None.
         """
-        self._hazard(service).ended(endpoint_id, now)
+        self._crash_rate(service).record_crash(endpoint_id, now)
         suspect = self._suspects.get(key)
-        generation = ruling.generation
+        generation = decision.generation
         if suspect is None:
             suspect = self._add(key, suspicion.Suspicion(service), now)
             generation = 1
-        elif suspect.held.epoch != ruling.epoch:
+        elif suspect.held.epoch != decision.epoch:
             # The evidence from the start of the run has been cleared.
             generation = 1
         before = suspect.held.generation
         if not suspect.held.note_end(endpoint_id, generation, build):
             return None
-        self._changed(suspect, before, now)
+        self._update_times(suspect, before, now)
         # Only the box that sent the run decides. If every box did, the one with
         # the fewest observed crashes of other runs would decide for all.
         if suspect.held.generation >= self.ends_needed(suspect, now):
@@ -299,7 +303,7 @@
         Returns:
             The suspect if it was cleared, otherwise None.
         """
-        self._hazard(service).answered(now)
+        self._crash_rate(service).record_answer(now)
         self._answered[key] = now
         self._answered.move_to_end(key)
         if len(self._answered) > MAX_ANSWERED:
@@ -329,14 +333,14 @@
     def take(
         self,
         key: request_content.ContentKey,
-        held: suspicion.Suspicion,
+        evidence: suspicion.Suspicion,
         now: float,
     ) -> Suspect | None:
         """Merges the evidence of another box.
 
         Args:
             key: The request's key.
-            held: The evidence of the other box.
+            evidence: The evidence of the other box.
             now: The current time.
 
         Returns:
@@ -344,16 +348,19 @@
         """
         suspect = self._suspects.get(key)
         if suspect is None:
-            if not held.generation:
+            if not evidence.generation:
                 return None
-            suspect = self._add(key, suspicion.Suspicion(held.service), now)
+            suspect = self._add(key, suspicion.Suspicion(evidence.service), now)
         before = suspect.held.generation
-        tried = (suspect.held.epoch, suspect.held.tries)
+        previous_trial = (suspect.held.epoch, suspect.held.tries)
         was_outlived = suspect.held.outlived
-        if not suspect.held.merge(held):
+        if not suspect.held.merge(evidence):
             return None
-        self._changed(suspect, before, now)
-        if (suspect.held.epoch, suspect.held.tries) > tried and held.tries:
+        self._update_times(suspect, before, now)
+        if (
+            suspect.held.epoch,
+            suspect.held.tries,
+        ) > previous_trial and evidence.tries:
             suspect.trial_until = now + TRIAL_S
         if suspect.held.outlived and not was_outlived:
             suspect.trial_until = 0.0
@@ -362,22 +369,28 @@
     def forget(self, now: float) -> None:
         """Removes expired suspects."""
         for suspect in list(self._suspects.values()):
-            held = suspect.held
-            kept_s = LONGEST_RELEASE_S if held.quarantined else FORGET_S
+            evidence = suspect.held
+            kept_s = (
+                MAX_RELEASE_S if evidence.quarantined else SUSPECT_LIFETIME_S
+            )
             if now - suspect.changed_at > kept_s:
                 self._remove(suspect)
 
     def ends_needed(self, suspect: Suspect, now: float) -> int:
         """Returns how many consecutive crashes put a request in quarantine."""
-        held = suspect.held
-        needed = self._hazard(held.service).ends_needed(held.ends, now)
-        least = endpoint_hazard.LEAST_ENDS
+        evidence = suspect.held
+        needed = self._crash_rate(evidence.service).ends_needed(
+            evidence.ends, now
+        )
+        minimum = endpoint_hazard.LEAST_ENDS
         if self._was_answered(suspect.key, now):
-            least = LEAST_ENDS_IF_ANSWERED
-        beside = len(held.ends) - held.generation
-        return max(least, needed - max(0, beside) // BESIDE_FOR_ONE)
+            minimum = MIN_CRASHES_IF_ANSWERED
+        concurrent = len(evidence.ends) - evidence.generation
+        return max(
+            minimum, needed - max(0, concurrent) // CONCURRENT_PER_CONSECUTIVE
+        )
 
-    def _changed(self, suspect: Suspect, before: int, now: float) -> None:
+    def _update_times(self, suspect: Suspect, before: int, now: float) -> None:
         """Updates a suspect's times after a change of its evidence.
 
         Args:
@@ -385,9 +398,9 @@
             before: Its generation before the change.
             now: The current time.
         """
-        held = suspect.held
+        evidence = suspect.held
         suspect.changed_at = now
-        if held.generation != before:
+        if evidence.generation != before:
             suspect.trial_until = 0.0
 
     def _was_answered(
@@ -396,47 +409,49 @@
         answered_at = self._answered.get(key)
         return answered_at is not None and now - answered_at <= ANSWERED_S
 
-    def _hazard(self, service: str) -> endpoint_hazard.EndpointHazard:
-        hazard = self._hazards.get(service)
-        if hazard is None:
-            hazard = self._hazards[service] = endpoint_hazard.EndpointHazard()
-        return hazard
+    def _crash_rate(self, service: str) -> endpoint_hazard.EndpointHazard:
+        crash_rate = self._crash_rates.get(service)
+        if crash_rate is None:
+            crash_rate = self._crash_rates[service] = (
+                endpoint_hazard.EndpointHazard()
+            )
+        return crash_rate
 
     def _add(
         self,
         key: request_content.ContentKey,
-        held: suspicion.Suspicion,
+        evidence: suspicion.Suspicion,
         now: float,
     ) -> Suspect:
-        if self._of_caller[key.caller] >= MAX_OF_CALLER:
-            self._drop_least(key.caller)
+        if self._counts_by_caller[key.caller] >= MAX_SUSPECTS_PER_CALLER:
+            self._evict_least(key.caller)
         elif len(self._suspects) >= MAX_SUSPECTS:
-            [(caller, _)] = self._of_caller.most_common(1)
-            self._drop_least(caller)
-        suspect = Suspect(key, held, now)
+            [(caller, _)] = self._counts_by_caller.most_common(1)
+            self._evict_least(caller)
+        suspect = Suspect(key, evidence, now)
         self._suspects[key] = suspect
-        self._of_caller[key.caller] += 1
+        self._counts_by_caller[key.caller] += 1
         return suspect
 
-    def _drop_least(self, caller: bytes) -> None:
+    def _evict_least(self, caller: bytes) -> None:
         own = [s for s in self._suspects.values() if s.key.caller == caller]
         self._remove(min(own, key=weight))
 
     def _remove(self, suspect: Suspect) -> None:
         del self._suspects[suspect.key]
         caller = suspect.key.caller
-        self._of_caller[caller] -= 1
-        if not self._of_caller[caller]:
-            del self._of_caller[caller]
+        self._counts_by_caller[caller] -= 1
+        if not self._counts_by_caller[caller]:
+            del self._counts_by_caller[caller]
 
 
-def release_pause_s(held: suspicion.Suspicion) -> float:
+def release_delay_s(evidence: suspicion.Suspicion) -> float:
     """Returns the delay in seconds until a quarantined request's next trial."""
-    pause_s = FIRST_RELEASE_S * RELEASE_FACTOR**held.releases
-    return min(pause_s, LONGEST_RELEASE_S)
+    delay_s = FIRST_RELEASE_S * RELEASE_FACTOR**evidence.releases
+    return min(delay_s, MAX_RELEASE_S)
 
 
 def weight(suspect: Suspect) -> tuple[bool, int, float]:
     """Returns a sort key that orders the least suspected request first."""
-    held = suspect.held
-    return held.quarantined, held.generation, suspect.changed_at
+    evidence = suspect.held
+    return evidence.quarantined, evidence.generation, suspect.changed_at
--- a/martenjunction/decisions/boxes/suspicion.py
+++ b/martenjunction/decisions/boxes/suspicion.py
@@ -9,7 +9,7 @@
 
 # Maximum number of remembered crashes and builds; those of the latest runs are
 # kept.
-MAX_ENDS = 8
+MAX_CRASHES = 8
 MAX_BUILDS = 8
 
 
@@ -60,7 +60,7 @@
         """
         if self.ends.get(endpoint_id, 0) >= generation:
             return False
-        self._add_ends({endpoint_id: generation})
+        self._add_crashes({endpoint_id: generation})
         self._add_builds(frozenset({build}))
         return True
 
@@ -78,19 +78,19 @@
         """Merges the evidence of another box; returns whether it changed."""
         if other.epoch < self.epoch:
             return False
-        before = self._facts()
+        before = self._state()
         if other.epoch > self.epoch:
             self.clear()
             self.epoch = other.epoch
-        self._add_ends(other.ends)
+        self._add_crashes(other.ends)
         self._add_builds(other.builds)
         self.tries = max(self.tries, other.tries)
         self.quarantined = self.quarantined or other.quarantined
         self.releases = max(self.releases, other.releases)
         self.outlived = self.outlived or other.outlived
-        return self._facts() != before
+        return self._state() != before
 
-    def _facts(self) -> tuple[object, ...]:
+    def _state(self) -> tuple[object, ...]:
         return (
             self.epoch,
             dict(self.ends),
@@ -101,13 +101,13 @@
             self.outlived,
         )
 
-    def _add_ends(self, ends: dict[str, int]) -> None:
-        for endpoint_id, generation in ends.items():
+    def _add_crashes(self, crashes: dict[str, int]) -> None:
+        for endpoint_id, generation in crashes.items():
             known = self.ends.get(endpoint_id, 0)
             self.ends[endpoint_id] = max(known, generation)
         # Ties are broken by id, so that all boxes keep the same crashes.
-        latest = sorted(self.ends.items(), key=lambda e: (-e[1], e[0]))
-        self.ends = dict(latest[:MAX_ENDS])
+        latest = sorted(self.ends.items(), key=lambda item: (-item[1], item[0]))
+        self.ends = dict(latest[:MAX_CRASHES])
 
     def _add_builds(self, builds: frozenset[str]) -> None:
         self.builds = frozenset(sorted(self.builds | builds)[-MAX_BUILDS:])
--- a/martenjunction/decisions/boxes/tier_precedence.py
+++ b/martenjunction/decisions/boxes/tier_precedence.py
@@ -8,27 +8,27 @@
 
 # Seconds for which lower tiers yield after a refusal of a higher tier, whose
 # callers retry within that time.
-HELD_S = 1.0
+YIELD_S = 1.0
 
 # One in this many requests of a lower tier is not held back, so that every tier
 # makes progress.
-SHARE_OF = 8
+EXEMPT_EVERY = 8
 
 # Maximum number of services; the oldest are evicted.
 MAX_SERVICES = 1024
 
 
 @dataclasses.dataclass(slots=True)
-class _Service:
+class _ServiceState:
     refused_at: dict[int, float] = dataclasses.field(default_factory=dict)
-    held_back: int = 0
+    yield_count: int = 0
 
 
 class TierPrecedence:
     """One box's record of requests refused for lack of grants."""
 
     def __init__(self) -> None:
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceState] = {}
 
     def note_refused(self, service: str, tier: int, now: float) -> None:
         """Records a request that was refused because no endpoint takes it.
@@ -38,12 +38,12 @@
             tier: The request's tier; 0 has priority.
             now: The current time.
         """
-        known = self._services.get(service)
-        if known is None:
+        state = self._services.get(service)
+        if state is None:
             while len(self._services) >= MAX_SERVICES:
                 del self._services[next(iter(self._services))]
-            known = self._services[service] = _Service()
-        known.refused_at[tier] = now
+            state = self._services[service] = _ServiceState()
+        state.refused_at[tier] = now
 
     def holds_back(self, service: str, tier: int, now: float) -> bool:
         """Returns whether a request has to yield to higher tiers.
@@ -53,11 +53,11 @@
             tier: The request's tier.
             now: The current time.
         """
-        known = self._services.get(service)
-        if known is None or not any(
-            higher < tier and now - refused_at < HELD_S
-            for higher, refused_at in known.refused_at.items()
+        state = self._services.get(service)
+        if state is None or not any(
+            higher < tier and now - refused_at < YIELD_S
+            for higher, refused_at in state.refused_at.items()
         ):
             return False
-        known.held_back += 1
-        return known.held_back % SHARE_OF != 0
+        state.yield_count += 1
+        return state.yield_count % EXEMPT_EVERY != 0
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -21,7 +21,7 @@
     return made
 
 
-def test_draining_endpoint_gets_no_work_at_once() -> None:
+def test_draining_endpoint_gets_no_requests_at_once() -> None:
     known = listed("e1", "e2")
     left = known.take_change(builders.endpoint("e1", DRAINING), rev(6))
     assert left == ["e1"]
@@ -29,21 +29,21 @@
     assert [e.id for e in known.ready(builders.PLAIN)] == ["e2"]
 
 
-def test_endpoint_that_leaves_does_not_come_back() -> None:
+def test_draining_endpoint_does_not_become_ready_again() -> None:
     known = listed("e1")
     known.take_change(builders.endpoint("e1", DRAINING), rev(6))
     known.take_change(builders.endpoint("e1"), rev(7))
     assert not known.may_send("e1")
 
 
-def test_deleted_entry_is_gone_and_an_old_one_does_not_bring_it_back() -> None:
+def test_older_revision_does_not_restore_a_removed_entry() -> None:
     known = listed("e1")
     assert known.take_end("e1", rev(8), 1.0) == ["e1"]
     known.take_change(builders.endpoint("e1"), rev(7))
     assert not known.may_send("e1")
 
 
-def test_entry_missing_from_a_new_list_is_gone() -> None:
+def test_entry_missing_from_a_new_listing_is_removed() -> None:
     known = listed("e1", "e2")
     left = known.take_listing(
         [(builders.endpoint("e2"), rev(1))], rev(9), now=1.0
@@ -51,7 +51,7 @@
     assert left == ["e1"]
 
 
-def test_list_older_than_what_is_known_changes_nothing() -> None:
+def test_outdated_listing_changes_nothing() -> None:
     known = listed("e1")
     known.take_change(builders.endpoint("e2"), rev(8))
     known.advance(rev(8))
@@ -95,7 +95,7 @@
     assert known.take_listing([], rev(9), now=10.2) == ["e1"]
 
 
-def test_box_that_others_kept_informed_gives_no_grace() -> None:
+def test_box_updated_by_peers_gives_no_grace() -> None:
     # The store was unavailable to this box for long but responded to others.
     known = listed("e1")
     known.store_lost()
@@ -114,14 +114,14 @@
     assert known.expire(20.1) == ["e1"]
 
 
-def test_endpoint_that_another_box_does_not_have_is_gone_at_once() -> None:
+def test_endpoint_missing_from_a_peer_view_is_removed_at_once() -> None:
     known = listed("e1", "e2")
     known.store_lost()
     assert known.take_view([], {"e2"}, rev(9), 1.0) == ["e1"]
     assert not known.may_send("e1") and known.may_send("e2")
 
 
-def test_view_brings_what_changed_and_keeps_the_rest() -> None:
+def test_peer_view_updates_changed_entries_only() -> None:
     known = listed("e1", "e2")
     changed = [
         (builders.endpoint("e2", DRAINING), rev(7)),
@@ -132,13 +132,13 @@
     assert known.revision == rev(8)
 
 
-def test_older_view_changes_nothing() -> None:
+def test_outdated_peer_view_changes_nothing() -> None:
     known = listed("e1")
     assert known.take_view([], set(), rev(4), 1.0) == []
     assert known.may_send("e1")
 
 
-def test_digest_tells_lists_apart() -> None:
+def test_digest_differs_between_lists() -> None:
     known, other = listed("e1", "e2"), listed("e2", "e1")
     assert known.digest() == other.digest()
     other.leave("e1", rev(6))
@@ -170,7 +170,7 @@
 
 
 @given(st.lists(CHANGES, max_size=30))
-def test_digest_is_the_one_made_anew_after_whatever_happens(
+def test_digest_matches_a_recomputed_one_after_any_changes(
     changes: list[tuple[object, ...]],
 ) -> None:
     known = listed("e1", "e2")
@@ -180,7 +180,7 @@
         assert known.digest() == xxhash.xxh3_64_intdigest(ids.encode())
 
 
-def test_digest_is_kept_until_other_endpoints_may_get_work(
+def test_digest_is_cached_until_the_ready_endpoints_change(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     known = listed("e1", "e2")
@@ -202,16 +202,16 @@
     assert made == [["e1", "e2"], ["e2"]]
 
 
-def test_what_is_remembered_of_gone_endpoints_is_bounded() -> None:
+def test_removed_entries_are_bounded() -> None:
     known = listed()
-    for number in range(endpoint_list.MAX_GONE + 50):
+    for number in range(endpoint_list.MAX_REMOVED + 50):
         gone = builders.endpoint(f"e{number}")
         known.take_change(gone, rev(6 + 2 * number))
         known.take_end(gone.id, rev(7 + 2 * number), 1.0)
-    assert len(known._gone) == endpoint_list.MAX_GONE
+    assert len(known._removed) == endpoint_list.MAX_REMOVED
 
 
-def test_peer_can_tell_that_an_endpoint_leaves() -> None:
+def test_peer_can_report_a_draining_endpoint() -> None:
     known = listed("e1")
     assert known.leave("e1", rev(6))
     assert not known.may_send("e1")
--- a/tests/test_endpoint_loads.py
+++ b/tests/test_endpoint_loads.py
@@ -20,7 +20,7 @@
 )
 
 
-class Sums(RuleBasedStateMachine):
+class Totals(RuleBasedStateMachine):
     """Compares the totals with ones recomputed from all reports."""
 
     def __init__(self) -> None:
@@ -44,25 +44,25 @@
         self.loads.add(key, running, unread)
         self.own.append((key, running, unread))
 
-    @rule(box=st.sampled_from(["a", "b", "c"]), told=tables)
-    def tell(
+    @rule(box=st.sampled_from(["a", "b", "c"]), reported=tables)
+    def report(
         self,
         box: str,
-        told: dict[endpoint_loads.LoadKey, endpoint_loads.Load],
+        reported: dict[endpoint_loads.LoadKey, endpoint_loads.Load],
     ) -> None:
-        self.loads.take_peer(box, told, self.now)
-        self.peers[box] = (self.now, told)
+        self.loads.take_peer(box, reported, self.now)
+        self.peers[box] = (self.now, reported)
 
     @rule(seconds=st.sampled_from([0.1, 0.7, LIFETIME_S, 5.0]))
     def wait(self, seconds: float) -> None:
         self.now += seconds
 
     @invariant()
-    def sums_are_those_of_what_counts(self) -> None:
+    def totals_match_current_reports(self) -> None:
         rows = list(self.own)
-        for heard, told in self.peers.values():
-            if self.now - heard < LIFETIME_S:
-                rows += [(k, v.running, v.unread) for k, v in told.items()]
+        for reported_at, reported in self.peers.values():
+            if self.now - reported_at < LIFETIME_S:
+                rows += [(k, v.running, v.unread) for k, v in reported.items()]
         assert self.loads.running(self.now) == sum(r for _, r, _ in rows)
         assert self.loads.waiting(self.now) == sum(u for _, _, u in rows)
         assert self.loads.ahead(0, self.now) == sum(
@@ -73,7 +73,7 @@
         )
 
 
-def test_boxes_that_are_not_heard_are_taken_to_have_as_much() -> None:
+def test_silent_boxes_are_extrapolated() -> None:
     loads = endpoint_loads.EndpointLoads()
     loads.add(KEYS[0], 2, 900)
     loads.scale = 2.5
@@ -81,4 +81,4 @@
     assert loads.own_running == 2
 
 
-TestSums = Sums.TestCase
+TestTotals = Totals.TestCase
--- a/tests/test_engine_figures.py
+++ b/tests/test_engine_figures.py
@@ -13,12 +13,12 @@
 
 # Seconds per token during continuous prefill and without any prefill, as
 # measured on engines of different services.
-READING_S = {"first": 0.042, "second": 0.066}
+PREFILL_TOKEN_S = {"first": 0.042, "second": 0.066}
 STEP_S = 0.0065
 
 
-def learner(
-    reading_s: float, share: float = 0.1, pauses: int = 2000
+def observed_estimator(
+    prefill_token_s: float, share: float = 0.1, pauses: int = 2000
 ) -> engine_figures.FiguresLearner:
     """Returns an estimator that observed streams beside prompts.
 
@@ -28,12 +28,16 @@
         pauses: Number of observed pauses.
     """
     rng = random.Random(4)
-    learnt = engine_figures.FiguresLearner()
+    estimator = engine_figures.FiguresLearner()
     for _ in range(pauses):
-        reads = reading_s if rng.random() < share else rng.random() * reading_s
-        learnt.paused(STEP_S + (reads - STEP_S) * (rng.random() < 0.5))
-    learnt.settle(0.0)
-    return learnt
+        token_s = (
+            prefill_token_s
+            if rng.random() < share
+            else rng.random() * prefill_token_s
+        )
+        estimator.paused(STEP_S + (token_s - STEP_S) * (rng.random() < 0.5))
+    estimator.settle(0.0)
+    return estimator
 
 
 def demand(
@@ -46,78 +50,78 @@
     )
 
 
-def test_nothing_learnt_keeps_streams_apart() -> None:
+def test_no_estimate_keeps_prompts_and_streams_apart() -> None:
     figures = engine_figures.FiguresLearner().figures
     assert math.isinf(figures.reading_token_s)
     assert not demand(figures, 1, 10.0).reads_beside_streams
 
 
-def test_engines_of_unlike_kinds_are_told_apart() -> None:
+def test_engines_of_different_speed_are_distinguished() -> None:
     # Guards against a chunk time that is constant for all engines. With three
     # tokens per event on slower engines, each event waited for three chunks of
     # 60 ms and exceeded its pause limit of 200 ms: 78 of 403 short streams were
     # late at low load, with a median time to first event of 48 ms.
-    first = learner(READING_S["first"]).figures
-    second = learner(READING_S["second"]).figures
+    first = observed_estimator(PREFILL_TOKEN_S["first"]).figures
+    second = observed_estimator(PREFILL_TOKEN_S["second"]).figures
     assert demand(first, 5, 0.25).reads_beside_streams
     assert not demand(first, 6, 0.25).reads_beside_streams
     assert not demand(second, 3, 0.2).reads_beside_streams
 
 
-def test_pause_is_remembered_while_little_is_read() -> None:
+def test_pause_estimate_stays_high_during_little_prefill() -> None:
     # Guards against an estimate that is a quantile of the latest pauses. After
     # a burst, fewer chunks followed each other and the estimate fell from 79 to
     # 52 ms per token, so streams were late in the next burst.
-    learnt = learner(READING_S["second"])
+    estimator = observed_estimator(PREFILL_TOKEN_S["second"])
     rng = random.Random(5)
     for _ in range(400):
-        learnt.paused(STEP_S + 0.01 * rng.random())
-    learnt.settle(1.0)
-    assert not demand(learnt.figures, 3, 0.2).reads_beside_streams
+        estimator.paused(STEP_S + 0.01 * rng.random())
+    estimator.settle(1.0)
+    assert not demand(estimator.figures, 3, 0.2).reads_beside_streams
 
 
-def test_faster_engine_is_known_in_the_end() -> None:
-    learnt = learner(READING_S["second"])
-    for _ in range(engine_figures.BLOCKS * engine_figures.BLOCK_PAUSES):
-        learnt.paused(0.03)
-    learnt.settle(1.0)
-    assert learnt.figures.reading_token_s < 0.031
+def test_estimate_converges_to_a_faster_engine() -> None:
+    estimator = observed_estimator(PREFILL_TOKEN_S["second"])
+    for _ in range(engine_figures.MAX_BLOCKS * engine_figures.BLOCK_PAUSES):
+        estimator.paused(0.03)
+    estimator.settle(1.0)
+    assert estimator.figures.reading_token_s < 0.031
 
 
-def test_too_few_observations_say_nothing() -> None:
-    learnt = engine_figures.FiguresLearner()
+def test_too_few_observations_give_no_estimate() -> None:
+    estimator = engine_figures.FiguresLearner()
     for _ in range(engine_figures.ENOUGH_READS - 1):
-        learnt.prompt_read(9000, 0.3)
+        estimator.prompt_read(9000, 0.3)
     for _ in range(engine_figures.BLOCK_PAUSES):
-        learnt.paused(0.05)
-    learnt.settle(0.0)
-    assert learnt.own == engine_figures.LearntFigures()
+        estimator.paused(0.05)
+    estimator.settle(0.0)
+    assert estimator.own == engine_figures.LearntFigures()
 
 
-def test_prompts_behind_others_do_not_make_an_engine_slow() -> None:
-    learnt = engine_figures.FiguresLearner()
-    for number in range(engine_figures.READS):
+def test_queued_prompts_do_not_lower_the_rate() -> None:
+    estimator = engine_figures.FiguresLearner()
+    for number in range(engine_figures.MAX_PREFILLS):
         # Half of them queue behind prompts that other boxes report too late.
         waits_s = 0.4 * (number % 2)
-        learnt.prompt_read(9000, 9000 / 36_000 + 0.015 + waits_s)
-    learnt.settle(0.0)
-    assert 35_000 < learnt.figures.prefill_tokens_per_s < 37_000
+        estimator.prompt_read(9000, 9000 / 36_000 + 0.015 + waits_s)
+    estimator.settle(0.0)
+    assert 35_000 < estimator.figures.prefill_tokens_per_s < 37_000
 
 
-def test_box_that_just_started_decides_like_the_others() -> None:
+def test_newly_started_box_uses_the_estimates_of_peers() -> None:
     fresh = engine_figures.FiguresLearner()
     for box in ("b", "c", "d"):
-        told = engine_figures.LearntFigures(36_000.0, 0.066)
-        fresh.take_peer(box, told, 10.0)
+        estimate = engine_figures.LearntFigures(36_000.0, 0.066)
+        fresh.take_peer(box, estimate, 10.0)
     fresh.settle(10.1)
     assert fresh.figures == engine_figures.EngineFigures(36_000.0, 0.066)
     assert fresh.voters == 3
 
 
-def test_peers_that_fell_silent_have_no_vote() -> None:
+def test_estimates_of_silent_peers_expire() -> None:
     fresh = engine_figures.FiguresLearner()
     fresh.take_peer("b", engine_figures.LearntFigures(9.0, 9.0), 10.0)
-    late = 10.1 + engine_figures.PEER_FIGURES_LIFETIME_S
+    late = 10.1 + engine_figures.PEER_ESTIMATE_LIFETIME_S
     fresh.settle(late)
     assert fresh.voters == 0
     assert fresh.figures == engine_figures.EngineFigures()
@@ -128,43 +132,43 @@
         st.tuples(st.integers(0, 40_000), st.floats(0.0001, 5.0)), max_size=90
     )
 )
-def test_learnt_rate_is_one_that_was_seen(
+def test_estimated_rate_is_one_of_the_observed_rates(
     reads: list[tuple[int, float]],
 ) -> None:
-    learnt = engine_figures.FiguresLearner()
-    seen = [engine_figures.START_PREFILL_TOKENS_PER_S]
+    estimator = engine_figures.FiguresLearner()
+    seen = [engine_figures.INITIAL_PREFILL_TOKENS_PER_S]
     for tokens, seconds in reads:
-        learnt.prompt_read(tokens, seconds)
-        if seconds > engine_figures.FIRST_STEPS_S:
-            seen.append(tokens / (seconds - engine_figures.FIRST_STEPS_S))
-    learnt.settle(0.0)
-    assert learnt.figures.prefill_tokens_per_s in seen
+        estimator.prompt_read(tokens, seconds)
+        if seconds > engine_figures.FIRST_EVENT_BASE_S:
+            seen.append(tokens / (seconds - engine_figures.FIRST_EVENT_BASE_S))
+    estimator.settle(0.0)
+    assert estimator.figures.prefill_tokens_per_s in seen
 
 
 # Use of the profile by the endpoint choice.
 
 
-def test_long_prompt_avoids_streams_of_an_endpoint_no_longer_kept() -> None:
+def test_long_prompt_avoids_streams_of_an_endpoint_no_longer_reserved() -> None:
     # Guards against avoiding only the currently reserved endpoints. When short
     # streams became fewer, one endpoint lost its reservation and received a
     # prompt with 16,450 tokens to prefill while 25 short streams still ran
     # there. All of them were late, with a pause of 292 ms.
     records = [builders.record(f"e{n}") for n in range(5)]
     short = builders.demand()
-    [kept] = endpoint_choice.kept_for_short(records, short, 10.0)
+    [reserved] = endpoint_choice.kept_for_short(records, short, 10.0)
     prompt = (("s", 6000), ("own", 16_000))
     long = builders.demand(prompt)
     rng = random.Random(1)
     first = endpoint_choice.choose(records, long, 10.0, rng)
-    assert first is not None and first.record.id != kept
+    assert first is not None and first.record.id != reserved
     first.record.loads.add(short.load_key, 25, 0)
     assert len(endpoint_choice.kept_for_short(records, short, 10.0)) == 1
     second = endpoint_choice.choose(records, long, 10.0, rng)
     assert second is not None
-    assert second.record.id not in (kept, first.record.id)
+    assert second.record.id not in (reserved, first.record.id)
 
 
-def test_stream_with_the_shortest_pause_stays_short() -> None:
+def test_request_with_the_shortest_pause_limit_counts_as_short() -> None:
     # Guards against classifying prompts only by how much they delay other
     # streams. Prompts of 2,100 tokens counted as long and were sent to engines
     # with continuous prefill, where their own streams, which also have the
--- a/tests/test_reading_demand.py
+++ b/tests/test_reading_demand.py
@@ -12,7 +12,9 @@
 RATES = reading_demand.ReadingRates
 
 
-def kept(count: int, asked: reading_demand.ReadingRates, running: int) -> int:
+def reserved_count(
+    count: int, asked: reading_demand.ReadingRates, running: int
+) -> int:
     """Returns how many of some engines are reserved for short streams."""
     records = [builders.record(f"e{number}") for number in range(count)]
     demand = builders.demand(asked=asked)
@@ -20,22 +22,22 @@
     return len(endpoint_choice.kept_for_short(records, demand, 10.0))
 
 
-def test_long_prompts_that_burst_get_the_engines_that_they_ask_for() -> None:
+def test_bursts_of_long_prompts_get_engines_by_demand() -> None:
     # Guards against reserving one engine per 14 short streams regardless of the
     # demand of long prompts. With 30 short streams, two of four engines were
     # reserved and nearly idle, while the others faced 50,000 tokens per second.
     # In a burst and after the loss of an engine, most long prompts were refused
     # or late.
-    assert kept(4, RATES(8_000.0, 50_000.0), running=30) == 1
-    assert kept(3, RATES(8_000.0, 50_000.0), running=30) == 1
-    assert kept(5, RATES(18_000.0, 23_000.0), running=30) == 2
+    assert reserved_count(4, RATES(8_000.0, 50_000.0), running=30) == 1
+    assert reserved_count(3, RATES(8_000.0, 50_000.0), running=30) == 1
+    assert reserved_count(5, RATES(18_000.0, 23_000.0), running=30) == 2
 
 
-def test_short_streams_find_places_where_they_are_kept_apart() -> None:
+def test_short_streams_find_slots_on_reserved_engines() -> None:
     # Engines have 64 slots. Beyond three fifths of them, short streams need a
     # second engine, however low their prefill demand is.
-    assert kept(5, RATES(1_000.0, 50_000.0), running=38) == 1
-    assert kept(5, RATES(1_000.0, 50_000.0), running=39) == 2
+    assert reserved_count(5, RATES(1_000.0, 50_000.0), running=38) == 1
+    assert reserved_count(5, RATES(1_000.0, 50_000.0), running=39) == 2
 
 
 @given(
@@ -47,10 +49,10 @@
 def test_both_kinds_always_have_an_engine(
     count: int, short: float, long: float, running: int
 ) -> None:
-    assert 1 <= kept(count, RATES(short, long), running) <= count / 2
+    assert 1 <= reserved_count(count, RATES(short, long), running) <= count / 2
 
 
-def test_refused_requests_are_asked_for_as_well() -> None:
+def test_refused_requests_count_as_demand() -> None:
     demand = reading_demand.ReadingDemand()
     for number in range(60):
         demand.note(3_000, True, 10.0 + number * 0.1)
@@ -61,7 +63,7 @@
     assert demand.own(40.0).long < 30
 
 
-def test_boxes_add_what_they_see_and_forget_who_falls_silent() -> None:
+def test_demand_of_peers_is_added_and_expires() -> None:
     demand = reading_demand.ReadingDemand()
     demand.take_peer("b", RATES(10.0, 20.0), 10.0)
     demand.take_peer("c", RATES(1.0, 2.0), 10.0)
@@ -70,7 +72,7 @@
     assert demand.total(11.8) == RATES(30.0, 40.0)
 
 
-def test_boxes_with_the_same_sums_keep_the_same_engines() -> None:
+def test_boxes_with_equal_totals_reserve_the_same_engines() -> None:
     records = [builders.record(f"e{number}") for number in range(9)]
     demand = builders.demand(asked=RATES(9_000.0, 30_000.0))
     first = endpoint_choice.kept_for_short(records, demand, 10.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -17,7 +17,7 @@
 rev = builders.rev
 
 
-def life(
+def incarnation(
     born: int, state: model.EndpointState = model.EndpointState.READY
 ) -> model.Endpoint:
     return dataclasses.replace(
@@ -31,59 +31,61 @@
     return made
 
 
-def test_later_life_takes_the_place_of_the_earlier_one() -> None:
-    known = known_with(life(1))
-    assert known.take_change(life(2), rev(6)) == ["e1/1"]
+def test_later_incarnation_replaces_the_earlier_one() -> None:
+    known = known_with(incarnation(1))
+    assert known.take_change(incarnation(2), rev(6)) == ["e1/1"]
     assert known.ready_ids() == ["e1/2"]
     assert known.restarted("e1/1") and not known.restarted("e1/2")
 
 
-def test_life_is_later_by_the_revision_not_by_its_clock() -> None:
-    known = known_with(life(2000))
-    known.take_change(life(1000), rev(6))
+def test_incarnations_are_ordered_by_revision_not_by_clock() -> None:
+    known = known_with(incarnation(2000))
+    known.take_change(incarnation(1000), rev(6))
     assert known.ready_ids() == ["e1/1000"]
 
 
-def test_late_word_of_the_earlier_life_changes_nothing() -> None:
-    known = known_with(life(1))
-    known.take_change(life(2), rev(6))
-    assert known.take_change(life(1, DRAINING), rev(5)) == []
+def test_late_updates_of_the_earlier_incarnation_change_nothing() -> None:
+    known = known_with(incarnation(1))
+    known.take_change(incarnation(2), rev(6))
+    assert known.take_change(incarnation(1, DRAINING), rev(5)) == []
     assert not known.leave("e1/1", rev(7))
     assert known.ready_ids() == ["e1/2"]
     assert known.take_end("e1", rev(5), 1.0) == []
     assert known.ready_ids() == ["e1/2"]
     assert known.take_end("e1", rev(8), 1.0) == ["e1/2"]
-    assert known.take_change(life(1), rev(7)) == []
+    assert known.take_change(incarnation(1), rev(7)) == []
     assert known.ready_ids() == []
 
 
-def test_mark_of_leaving_ends_with_the_life() -> None:
-    known = known_with(life(1))
-    known.take_change(life(1, DRAINING), rev(6))
-    known.take_change(life(2), rev(7))
+def test_draining_mark_ends_with_the_incarnation() -> None:
+    known = known_with(incarnation(1))
+    known.take_change(incarnation(1, DRAINING), rev(6))
+    known.take_change(incarnation(2), rev(7))
     assert known.may_send("e1/2")
 
 
-def test_restart_found_with_a_list_has_no_grace() -> None:
-    known = known_with(life(1))
+def test_restart_found_in_a_listing_has_no_grace() -> None:
+    known = known_with(incarnation(1))
     known.store_lost()
     known.store_returned(14.0, away_s=4.0)
-    assert known.take_listing([(life(2), rev(8))], rev(9), now=14.0) == ["e1/1"]
+    assert known.take_listing([(incarnation(2), rev(8))], rev(9), now=14.0) == [
+        "e1/1"
+    ]
     assert known.ready_ids() == ["e1/2"]
 
 
-def test_restart_that_a_peer_tells_of() -> None:
-    known = known_with(life(1))
-    assert known.take_view([(life(2), rev(8))], {"e1/2"}, rev(9), 1.0) == [
-        "e1/1"
-    ]
+def test_restart_reported_by_a_peer() -> None:
+    known = known_with(incarnation(1))
+    assert known.take_view(
+        [(incarnation(2), rev(8))], {"e1/2"}, rev(9), 1.0
+    ) == ["e1/1"]
     assert known.ready_ids() == ["e1/2"]
 
 
 # With a real box and fake replicas.
 
 
-async def started_again(fleet: boxes.Boxes, made: replica.Replica) -> str:
+async def restart(fleet: boxes.Boxes, made: replica.Replica) -> str:
     """Updates a replica's entry to a new incarnation; returns its id."""
     fleet.record(made, builders.PLAIN, born=2)
     now = f"{made.id}/2"
@@ -113,7 +115,7 @@
 @pytest.mark.parametrize(
     ("path", "status"), [("/unsafe/", 502), ("/safe/", 200)]
 )
-async def test_what_ran_there_when_it_started_again_is_lost(
+async def test_runs_are_lost_on_restart(
     fleet: boxes.Boxes, path: str, status: int
 ) -> None:
     # The earlier incarnation does not respond, and its connections stay open.
@@ -121,13 +123,15 @@
     made.plan(Behaviour.HANG)
     asking = asyncio.create_task(requests.ask(fleet, path))
     await boxes.until(lambda: bool(made.received))
-    await started_again(fleet, made)
+    await restart(fleet, made)
     head, _ = await asking
     assert head.status == status
     assert len(made.received) == (2 if status == 200 else 1)
 
 
-async def test_stream_of_the_earlier_life_ends(fleet: boxes.Boxes) -> None:
+async def test_stream_of_the_earlier_incarnation_ends(
+    fleet: boxes.Boxes,
+) -> None:
     made = await with_one(fleet, builders.ENGINE)
     made.plan(Behaviour.HANG)
     asking = asyncio.create_task(requests.ask(fleet, "/chat/"))
@@ -137,7 +141,7 @@
     assert head.status == 502
 
 
-async def test_what_was_believed_of_it_ends_with_its_life(
+async def test_endpoint_state_is_reset_on_restart(
     fleet: boxes.Boxes,
 ) -> None:
     made = await with_one(fleet)
@@ -150,17 +154,17 @@
     for _ in range(9):
         box.book.broken(f"{made.id}/1", box.timers.now())
     assert record.health.state == "ejected"
-    life_now = await started_again(fleet, made)
+    restarted_id = await restart(fleet, made)
     head, _ = await requests.ask(fleet, "/safe/")
     assert head.status == 200
-    fresh = box.book.records[life_now]
+    fresh = box.book.records[restarted_id]
     assert fresh is not record
     assert fresh.health.state == "routing"
     assert fresh.slowness.value < 2.0
     await boxes.until(lambda: f"{made.id}/1" not in box.book.records)
 
 
-async def test_parts_held_and_copies_end_with_the_life(
+async def test_cached_parts_and_copies_end_with_the_incarnation(
     fleet: boxes.Boxes,
 ) -> None:
     made = await with_one(fleet, builders.ENGINE)
@@ -179,7 +183,7 @@
     assert fresh.sent_tokens >= 400
 
 
-async def test_endpoint_that_was_silent_starts_again_trusted(
+async def test_unresponsive_endpoint_is_trusted_after_restart(
     fleet: boxes.Boxes,
 ) -> None:
     made = await with_one(fleet)
@@ -198,13 +202,13 @@
         )
     )
     made.always(Behaviour.SERVE)
-    await started_again(fleet, made)
+    await restart(fleet, made)
     assert {(await call)[0].status for call in asking} == {502}
     head, _ = await requests.ask(fleet, "/unsafe/", "later")
     assert head.status == 200
 
 
-async def test_peers_word_on_the_earlier_life_does_not_count() -> None:
+async def test_peer_reports_on_the_earlier_incarnation_are_ignored() -> None:
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=2)
     one = await made.add_replica(builders.PLAIN)
@@ -220,6 +224,6 @@
     later = rev(box.listed.revision.number + 5)
     box.picture.take_left(("i-1/1",), later)
     box.book.take_peer_loads("box-2", [("i-1/1", 0, False, 9, 900)], 0.0)
-    still = box.listed.may_send("i-1/2")
+    is_ready = box.listed.may_send("i-1/2")
     await made.stop()
-    assert still
+    assert is_ready
--- a/tests/test_routing_decisions.py
+++ b/tests/test_routing_decisions.py
@@ -18,12 +18,12 @@
 # Freshness of the configuration.
 
 
-def test_nothing_confirmed_covers_no_request() -> None:
+def test_no_request_is_covered_without_confirmation() -> None:
     fresh = key_freshness.ConfigFreshness(5.0, 0.25, 2.0)
     assert not fresh.covers(0.0)
 
 
-def test_confirmation_counts_from_the_question() -> None:
+def test_confirmation_counts_from_the_query() -> None:
     fresh = key_freshness.ConfigFreshness(5.0, 0.25, 2.0)
     fresh.confirm(asked_at=10.0)
     assert fresh.covers(14.7)
@@ -40,26 +40,26 @@
         st.tuples(st.floats(0.0, 0.5), st.booleans()), min_size=1, max_size=300
     )
 )
-def test_repeats_stay_within_ratio_and_allowance_in_every_window(
+def test_retries_stay_within_ratio_and_allowance_in_every_window(
     steps: list[tuple[float, bool]],
 ) -> None:
     budget = repeat_budget.RepeatBudget(0.2, 52.0, 10.0, lambda: 6)
     now = 0.0
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     for pause, is_request in steps:
         now += pause
         if is_request:
             budget.note_request("s", now)
             requests.append(now)
         elif budget.take("s", now):
-            repeats.append(now)
-            in_window = [t for t in repeats if t >= now - 10.0]
+            retries.append(now)
+            in_window = [t for t in retries if t >= now - 10.0]
             came = [t for t in requests if t >= now - 10.0]
             assert len(in_window) <= 0.2 * len(came) + 52.0 / 6
 
 
-def test_requests_of_a_service_without_repeats_do_not_pile_up() -> None:
+def test_requests_of_a_service_without_retries_expire() -> None:
     budget = repeat_budget.RepeatBudget(0.2, 52.0, 10.0, lambda: 6)
     for second in range(1000):
         budget.note_request("s", float(second))
@@ -107,7 +107,7 @@
     assert len(longs) == 4
 
 
-def test_more_endpoints_are_kept_free_while_many_short_streams_run() -> None:
+def test_more_endpoints_are_reserved_while_many_short_streams_run() -> None:
     records = five()
     short = builders.demand()
     before = endpoint_choice.kept_for_short(records, short, 10.0)
@@ -118,7 +118,7 @@
     assert len(after) == 2
 
 
-def test_none_is_kept_free_where_streams_stay_in_time_beside_prompts() -> None:
+def test_none_is_reserved_if_streams_tolerate_prefill() -> None:
     # Five tokens per event, each delayed by a chunk: 0.22 s of 0.25 s.
     demand = builders.demand(tokens_per_event=5)
     assert demand.reads_beside_streams
@@ -126,18 +126,18 @@
     assert not builders.demand(tokens_per_event=6).reads_beside_streams
 
 
-def test_another_endpoint_is_kept_free_when_that_one_is_ejected() -> None:
+def test_another_endpoint_is_reserved_when_one_is_ejected() -> None:
     records = five()
     demand = builders.demand()
-    [kept] = endpoint_choice.kept_for_short(records, demand, 10.0)
-    broken = next(r for r in records if r.id == kept)
+    [reserved] = endpoint_choice.kept_for_short(records, demand, 10.0)
+    broken = next(r for r in records if r.id == reserved)
     broken.health.move(endpoint_states.EndpointEvent.OUTLIER, 10.0)
-    assert choose(records, demand) != kept
+    assert choose(records, demand) != reserved
     long = builders.demand((("s", 6000), ("own", 3000)))
     assert choose(records, long) != choose(records, demand)
 
 
-def test_short_prompt_avoids_an_endpoint_that_reads_long_ones() -> None:
+def test_short_prompt_avoids_an_endpoint_that_prefills_long_ones() -> None:
     records = five()
     short = builders.demand(tokens_per_event=5, urgency=0)
     long = builders.demand((("s", 6000), ("own", 3000)), urgency=2)
@@ -151,9 +151,7 @@
     assert waits < 0.3
 
 
-def test_requests_of_lower_tiers_are_told_from_those_of_other_workspaces() -> (
-    None
-):
+def test_route_tiers_are_distinguished_from_workspace_tiers() -> None:
     loads = builders.record().loads
     loads.add(builders.demand(urgency=3).load_key, 2, 0)
     # Urgencies 2 and 3 belong to one route tier with two workspace tiers.
@@ -161,7 +159,7 @@
     assert loads.lower_tiers(1, 0.0) == 2
 
 
-def test_subject_leaves_its_endpoint_when_that_is_far_behind() -> None:
+def test_affinity_yields_to_a_large_backlog() -> None:
     records = five()
     demand = builders.demand((("s", 6000), ("own", 3000)))
     first = choose(records, demand)
@@ -179,7 +177,7 @@
     assert record.loads.ahead(5, 0.0) == 50_000
 
 
-def test_peer_loads_count_for_a_while_only() -> None:
+def test_peer_loads_expire() -> None:
     record = builders.record()
     key = builders.demand().load_key
     record.loads.take_peer(
@@ -189,7 +187,7 @@
     assert record.loads.running(20.0) == 0
 
 
-def test_ejected_endpoint_gets_trials_of_repeatable_requests_only() -> None:
+def test_ejected_endpoint_is_probed_by_repeatable_requests_only() -> None:
     records = [builders.record("bad"), builders.record("good")]
     records[0].health.move(endpoint_states.EndpointEvent.OUTLIER, 0.0)
     safe = builders.demand(is_engine=False, repeatable=True)
@@ -208,7 +206,7 @@
     assert record.slowness.value > 3.0
 
 
-def test_memory_of_parts_is_bounded_by_the_endpoint() -> None:
+def test_cached_parts_are_bounded_by_the_cache_size() -> None:
     record = builders.record(cache_tokens=1000)
     record.remember([("a", 600)])
     record.remember([("b", 600)])
@@ -219,7 +217,7 @@
 # Load shedding.
 
 
-def prospect(**changes: object) -> shedding.Prospect:
+def forecast(**changes: object) -> shedding.Prospect:
     values: dict[str, object] = {
         "predicted_s": 2.0,
         "target_s": 1.0,
@@ -230,29 +228,29 @@
     return shedding.Prospect(**values)  # type: ignore[arg-type]
 
 
-def test_request_that_would_be_late_is_told_when_to_come_back() -> None:
-    pause = shedding.retry_after_s(prospect())
+def test_late_request_gets_a_retry_delay() -> None:
+    pause = shedding.retry_after_s(forecast())
     assert pause is not None
-    assert shedding.SHORTEST_RETRY_S <= pause <= shedding.LONGEST_RETRY_S
+    assert shedding.MIN_RETRY_S <= pause <= shedding.MAX_RETRY_S
 
 
-def test_nothing_is_refused_while_nobody_waits() -> None:
-    assert shedding.retry_after_s(prospect(busy=False)) is None
+def test_nothing_is_refused_on_an_idle_endpoint() -> None:
+    assert shedding.retry_after_s(forecast(busy=False)) is None
 
 
-def test_request_in_time_is_taken() -> None:
-    assert shedding.retry_after_s(prospect(predicted_s=0.5)) is None
+def test_request_in_time_is_admitted() -> None:
+    assert shedding.retry_after_s(forecast(predicted_s=0.5)) is None
 
 
-def test_request_that_came_back_is_refused_later_than_a_new_one() -> None:
-    assert shedding.retry_after_s(prospect(predicted_s=0.9)) is not None
-    back = prospect(predicted_s=0.9, came_back=True)
+def test_retry_is_refused_later_than_a_new_request() -> None:
+    assert shedding.retry_after_s(forecast(predicted_s=0.9)) is not None
+    back = forecast(predicted_s=0.9, came_back=True)
     assert shedding.retry_after_s(back) is None
-    late = prospect(predicted_s=1.1, came_back=True)
+    late = forecast(predicted_s=1.1, came_back=True)
     assert shedding.retry_after_s(late) is not None
 
 
-def test_request_with_less_time_than_others_came_back() -> None:
+def test_request_with_a_shorter_deadline_is_a_retry() -> None:
     book = shedding.DeadlineBook()
     assert not book.came_back("r", 4.0)
     assert not book.came_back("r", 4.0)
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -22,7 +22,7 @@
     return [PeerAge(name, reads, age_s) for name in names]
 
 
-def settled(own: str, first: str) -> store_readers.ReaderRole:
+def relying_role(own: str, first: str) -> store_readers.ReaderRole:
     """Returns the role of a box that relies on the highest-ranked one."""
     role = store_readers.ReaderRole(own)
     role.decide([PeerAge(first, True, 0.1)], 0.1, 0.0)
@@ -30,7 +30,7 @@
     return role
 
 
-def test_box_that_just_started_reads_until_it_can_rely_on_another() -> None:
+def test_newly_started_box_reads_until_it_can_rely_on_another() -> None:
     first, others = first_and_others(3)
     role = store_readers.ReaderRole(others[0])
     assert role.decide([PeerAge(first, True, 0.1)], None, 0.0)
@@ -54,7 +54,7 @@
 
 def test_stale_box_reads_in_place_of_the_first() -> None:
     first, others = first_and_others(3)
-    role = settled(others[0], first)
+    role = relying_role(others[0], first)
     silent = [PeerAge(first, False, 1.3)]
     assert not role.decide(silent, 1.0, 5.0)
     assert role.decide(silent, 1.3, 5.3)
@@ -64,7 +64,7 @@
     first, others = first_and_others(8)
     begun = []
     for rank, own in enumerate(others, 1):
-        role = settled(own, first)
+        role = relying_role(own, first)
         peers = ages([n for n in [first, *others] if n != own], False, 3.0)
         age = 0.0
         while not role.decide(peers, age, 10.0 + age):
@@ -76,18 +76,18 @@
     assert times[-1] < 1.7
 
 
-def test_box_stops_when_a_better_one_reads_again() -> None:
+def test_box_stops_when_a_higher_ranked_one_reads_again() -> None:
     first, others = first_and_others(3)
-    role = settled(others[1], first)
+    role = relying_role(others[1], first)
     assert role.decide([PeerAge(first, False, 2.0)], 2.0, 10.0)
     back = [PeerAge(first, True, 0.1)]
-    assert role.decide(back, 0.1, 10.0 + store_readers.LEAST_READING_S / 2)
-    assert not role.decide(back, 0.1, 10.1 + store_readers.LEAST_READING_S)
+    assert role.decide(back, 0.1, 10.0 + store_readers.MIN_READING_S / 2)
+    assert not role.decide(back, 0.1, 10.1 + store_readers.MIN_READING_S)
 
 
-def test_box_goes_on_when_the_better_one_only_knows_from_it() -> None:
+def test_box_continues_if_the_higher_ranked_one_relies_on_it() -> None:
     first, others = first_and_others(3)
-    role = settled(others[1], first)
+    role = relying_role(others[1], first)
     role.decide([PeerAge(first, False, 2.0)], 2.0, 10.0)
     assert role.decide([PeerAge(first, False, 0.1)], 0.1, 20.0)
 
@@ -123,7 +123,7 @@
     assert all(made.dump()["ready"] for made in fleet.gateways)
 
 
-async def test_what_one_box_reads_reaches_the_others(
+async def test_updates_read_by_one_box_reach_the_others(
     fleet: boxes.Boxes,
 ) -> None:
     one = await fleet.add_replica(builders.PLAIN)
@@ -159,7 +159,7 @@
     assert readers(fleet)
 
 
-async def test_watches_begin_anew_once_a_silent_store_answers(
+async def test_watches_restart_when_an_unresponsive_store_returns(
     fleet: boxes.Boxes,
 ) -> None:
     gone = await fleet.add_replica(builders.PLAIN)
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -47,7 +47,7 @@
 
 
 @given(suspicions, suspicions, suspicions)
-def test_boxes_come_to_the_same_whatever_the_order(
+def test_merge_is_commutative_and_associative(
     one: suspicion.Suspicion,
     two: suspicion.Suspicion,
     three: suspicion.Suspicion,
@@ -57,7 +57,7 @@
 
 
 @given(suspicions, suspicions)
-def test_news_that_comes_twice_is_no_news(
+def test_merge_is_idempotent(
     one: suspicion.Suspicion, two: suspicion.Suspicion
 ) -> None:
     total = merged(one, two)
@@ -66,54 +66,54 @@
     assert total == before
 
 
-def test_news_from_before_it_was_cleared_changes_nothing() -> None:
-    held = suspicion.Suspicion(SERVICE)
-    held.note_end("e1", 1, "v1")
-    late = copy.deepcopy(held)
-    held.clear()
-    assert not held.merge(late)
-    assert not held.generation
+def test_evidence_of_an_earlier_epoch_is_ignored() -> None:
+    evidence = suspicion.Suspicion(SERVICE)
+    evidence.note_end("e1", 1, "v1")
+    late = copy.deepcopy(evidence)
+    evidence.clear()
+    assert not evidence.merge(late)
+    assert not evidence.generation
 
 
-def test_ends_are_bounded_and_the_latest_are_kept() -> None:
-    held = suspicion.Suspicion(SERVICE)
+def test_crashes_are_bounded_and_the_latest_are_kept() -> None:
+    evidence = suspicion.Suspicion(SERVICE)
     for number in range(1, 30):
-        held.note_end(f"e{number}", number, f"v{number}")
-    assert len(held.ends) == suspicion.MAX_ENDS
-    assert len(held.builds) <= suspicion.MAX_BUILDS
-    assert held.generation == 29
+        evidence.note_end(f"e{number}", number, f"v{number}")
+    assert len(evidence.ends) == suspicion.MAX_CRASHES
+    assert len(evidence.builds) <= suspicion.MAX_BUILDS
+    assert evidence.generation == 29
 
 
 # Number of crashes that lead to quarantine.
 
 
-def test_three_ends_suffice_where_others_are_answered() -> None:
-    hazard = endpoint_hazard.EndpointHazard()
+def test_three_crashes_suffice_where_others_are_answered() -> None:
+    crash_rate = endpoint_hazard.EndpointHazard()
     for _ in range(20):
-        hazard.answered(1.0)
-    assert hazard.ends_needed((), 1.0) == endpoint_hazard.LEAST_ENDS
+        crash_rate.record_answer(1.0)
+    assert crash_rate.ends_needed((), 1.0) == endpoint_hazard.LEAST_ENDS
 
 
-def test_more_are_needed_while_all_runs_end_with_their_endpoint() -> None:
-    hazard = endpoint_hazard.EndpointHazard()
+def test_more_crashes_are_needed_while_all_runs_crash() -> None:
+    crash_rate = endpoint_hazard.EndpointHazard()
     for number in range(20):
-        hazard.ended(f"e{number}", 1.0)
-    assert hazard.ends_needed((), 1.0) > 20
+        crash_rate.record_crash(f"e{number}", 1.0)
+    assert crash_rate.ends_needed((), 1.0) > 20
     # Crashes that the request may have caused do not count in its favor.
     explained = {f"e{number}" for number in range(20)}
     nothing_seen = endpoint_hazard.EndpointHazard().ends_needed((), 1.0)
-    assert hazard.ends_needed(explained, 1.0) == nothing_seen
-    assert nothing_seen <= endpoint_hazard.MOST_ENDS
+    assert crash_rate.ends_needed(explained, 1.0) == nothing_seen
+    assert nothing_seen <= endpoint_hazard.MAX_CRASHES
 
 
-def test_what_was_seen_long_ago_does_not_count() -> None:
-    hazard = endpoint_hazard.EndpointHazard()
+def test_old_runs_do_not_count() -> None:
+    crash_rate = endpoint_hazard.EndpointHazard()
     for number in range(20):
-        hazard.ended(f"e{number}", 1.0)
+        crash_rate.record_crash(f"e{number}", 1.0)
     later = 2.0 + endpoint_hazard.WINDOW_S
     for _ in range(20):
-        hazard.answered(later)
-    assert hazard.ends_needed((), later) == endpoint_hazard.LEAST_ENDS
+        crash_rate.record_answer(later)
+    assert crash_rate.ends_needed((), later) == endpoint_hazard.LEAST_ENDS
 
 
 # Decisions about a request.
@@ -157,7 +157,7 @@
         assert self.verdict(which) is Verdict.QUARANTINED
 
 
-def test_suspect_runs_alone_and_others_wait_for_its_end() -> None:
+def test_suspect_runs_alone_while_others_wait() -> None:
     table = Table()
     assert table.verdict(key()) is Verdict.FREE
     table.end(key(), "e1")
@@ -169,7 +169,7 @@
     assert table.verdict(key()) is Verdict.ALONE
 
 
-def test_ends_side_by_side_are_one_in_a_row() -> None:
+def test_concurrent_crashes_count_as_one() -> None:
     # A single outage ends eight runs of one content on eight endpoints.
     table = Table()
     ruling = table.judge(key())
@@ -178,7 +178,7 @@
     assert table.verdict(key()) is Verdict.ALONE
 
 
-def test_popular_request_goes_on_after_an_outage() -> None:
+def test_popular_request_is_served_after_an_outage() -> None:
     table = Table()
     table.made.note_answer(key(), SERVICE, table.now)
     ruling = table.judge(key())
@@ -187,7 +187,7 @@
     assert table.verdict(key()) is Verdict.FREE
 
 
-def test_request_that_outlives_its_trial_holds_up_no_others() -> None:
+def test_request_that_outlives_its_trial_does_not_delay_others() -> None:
     table = Table()
     table.end(key(), "e1")
     table.made.begin_trial(key(), table.now)
@@ -199,7 +199,7 @@
     assert table.verdict(key()) is Verdict.FREE
 
 
-def test_outlived_trial_frees_the_request_until_the_next_end() -> None:
+def test_outlived_trial_frees_the_request_until_the_next_crash() -> None:
     table, other = Table(), Table()
     table.end(key(), "e1")
     table.made.begin_trial(key(), table.now)
@@ -212,14 +212,14 @@
     assert other.made.note_outlived(key(), 0) is None
 
 
-def test_one_answer_clears_it() -> None:
+def test_one_answer_clears_a_request() -> None:
     table = Table()
     table.quarantine(key())
     table.made.note_answer(key(), SERVICE, table.now)
     assert table.verdict(key()) is Verdict.FREE
 
 
-def test_end_of_a_run_that_began_before_it_was_cleared_is_the_first() -> None:
+def test_crash_of_a_run_from_an_earlier_epoch_counts_as_the_first() -> None:
     table = Table()
     table.end(key(), "e1")
     table.end(key(), "e2")
@@ -231,7 +231,7 @@
     assert suspect is not None and suspect.held.generation == 1
 
 
-def test_quarantine_is_lifted_once_by_time_each_time_for_longer() -> None:
+def test_trials_of_a_quarantined_request_back_off() -> None:
     table = Table()
     table.quarantine(key())
     for number in range(3):
@@ -247,7 +247,7 @@
         assert table.verdict(key()) is Verdict.QUARANTINED
 
 
-def test_new_software_is_tried_once_and_nothing_else() -> None:
+def test_only_a_new_build_is_tried_once() -> None:
     table = Table()
     table.quarantine(key())
     table.builds = frozenset({"v1", "v2"})
@@ -261,25 +261,25 @@
     assert table.verdict(key()) is Verdict.QUARANTINED
 
 
-def test_another_boxes_quarantine_holds_here() -> None:
+def test_quarantine_of_another_box_applies() -> None:
     there, here = Table(), Table()
     there.quarantine(key())
-    told = there.made.find(key())
-    assert told is not None
-    here.made.take(key(), told.held, here.now)
+    reported = there.made.find(key())
+    assert reported is not None
+    here.made.take(key(), reported.held, here.now)
     assert here.verdict(key()) is Verdict.QUARANTINED
 
 
-def test_flood_of_one_caller_makes_no_other_forgotten() -> None:
+def test_flood_by_one_caller_evicts_no_other_suspects() -> None:
     table = Table()
     table.quarantine(key(1, caller=1))
     for number in range(3 * suspect_table.MAX_SUSPECTS):
         table.end(key(number, caller=2), "e1")
-    assert len(table.made) <= suspect_table.MAX_OF_CALLER + 1
+    assert len(table.made) <= suspect_table.MAX_SUSPECTS_PER_CALLER + 1
     assert table.verdict(key(1, caller=1)) is Verdict.QUARANTINED
 
 
-def test_flood_of_many_callers_stays_bounded() -> None:
+def test_flood_by_many_callers_stays_bounded() -> None:
     table = Table()
     table.quarantine(key(1, caller=1))
     for number in range(3 * suspect_table.MAX_SUSPECTS):
@@ -288,11 +288,11 @@
     assert table.verdict(key(1, caller=1)) is Verdict.QUARANTINED
 
 
-def test_what_had_no_news_for_long_is_forgotten() -> None:
+def test_unchanged_suspects_expire() -> None:
     table = Table()
     table.end(key(1), "e1")
     table.quarantine(key(2))
-    table.now += suspect_table.FORGET_S + 1.0
+    table.now += suspect_table.SUSPECT_LIFETIME_S + 1.0
     table.made.forget(table.now)
     assert table.made.find(key(1)) is None
     assert table.made.find(key(2)) is not None
@@ -302,14 +302,16 @@
 
 
 @given(suspicions)
-def test_message_tells_all(held: suspicion.Suspicion) -> None:
-    suspect = suspect_table.Suspect(key(7), held, 0.0)
+def test_message_round_trip_keeps_all_fields(
+    evidence: suspicion.Suspicion,
+) -> None:
+    suspect = suspect_table.Suspect(key(7), evidence, 0.0)
     assert list(suspect_news.decode(suspect_news.encode([suspect]))) == [
-        (key(7), held)
+        (key(7), evidence)
     ]
 
 
-def test_rows_that_cannot_be_true_are_left_out() -> None:
+def test_invalid_rows_are_skipped() -> None:
     good = (key().caller, key().content, SERVICE, 0, ("e1",), (1,))
     rows = [
         (b"short", *good[1:]),
@@ -335,7 +337,7 @@
 # Crashes that are independent of the request.
 
 
-def wrongly_quarantined(chance: float, draw: random.Random) -> int:
+def count_wrongly_quarantined(chance: float, draw: random.Random) -> int:
     """Counts quarantined contents of 3,000 that run up to four times each.
 
     Each run ends by chance with a crash, on one of nine boxes that have seen 25
@@ -365,12 +367,12 @@
                 )
                 assert noted is not None
                 for table in tables:
-                    told = table.take(key(content), noted.held, 0.0)
-                    if told is not None:
-                        noted.held.merge(told.held)
+                    reported = table.take(key(content), noted.held, 0.0)
+                    if reported is not None:
+                        noted.held.merge(reported.held)
                 runs += 1
-            held = tables[0].find(key(content))
-            wrong += held is not None and held.held.quarantined
+            suspect = tables[0].find(key(content))
+            wrong += suspect is not None and suspect.held.quarantined
     return wrong
 
 
@@ -381,4 +383,4 @@
     # runs, required three to five consecutive crashes, and the box with the
     # lowest threshold decided for all: a content was quarantined after three
     # crashes, although the box that ran it required five.
-    assert wrongly_quarantined(chance, random.Random(1)) <= 3
+    assert count_wrongly_quarantined(chance, random.Random(1)) <= 3
--- a/tests/test_tier_precedence.py
+++ b/tests/test_tier_precedence.py
@@ -10,30 +10,30 @@
 from tests import routing_builders as builders
 
 
-def held_back(
+def count_yielding(
     made: tier_precedence.TierPrecedence, tier: int, now: float
 ) -> int:
     """Returns how many of some requests of a tier have to yield."""
     return sum(
         made.holds_back("s", tier, now)
-        for _ in range(2 * tier_precedence.SHARE_OF)
+        for _ in range(2 * tier_precedence.EXEMPT_EVERY)
     )
 
 
-def test_lower_tiers_are_held_back_but_for_a_share() -> None:
+def test_lower_tiers_yield_except_for_a_share() -> None:
     made = tier_precedence.TierPrecedence()
-    assert held_back(made, 1, 0.0) == 0
+    assert count_yielding(made, 1, 0.0) == 0
     made.note_refused("s", 1, 0.0)
-    assert held_back(made, 0, 0.1) == 0
-    assert held_back(made, 1, 0.1) == 0
-    assert held_back(made, 2, 0.1) == 2 * tier_precedence.SHARE_OF - 2
+    assert count_yielding(made, 0, 0.1) == 0
+    assert count_yielding(made, 1, 0.1) == 0
+    assert count_yielding(made, 2, 0.1) == 2 * tier_precedence.EXEMPT_EVERY - 2
     assert not made.holds_back("other", 2, 0.1)
 
 
-def test_lower_tiers_go_on_once_nothing_is_refused() -> None:
+def test_lower_tiers_stop_yielding_after_the_last_refusal() -> None:
     made = tier_precedence.TierPrecedence()
     made.note_refused("s", 0, 0.0)
-    assert held_back(made, 1, tier_precedence.HELD_S) == 0
+    assert count_yielding(made, 1, tier_precedence.YIELD_S) == 0
 
 
 def test_services_are_bounded() -> None:
@@ -65,7 +65,7 @@
     assert served["/safe/"] > 2 * served["/unsafe/"] > 0
 
 
-async def test_lower_tier_goes_where_no_grant_is_needed(
+async def test_lower_tier_uses_endpoints_without_limits(
     fleet: boxes.Boxes,
 ) -> None:
     made = await limited_replicas.start(fleet, builders.PLAIN, 2, limit="5")
