--- a/martenjunction/decisions/boxes/suspicion.py
+++ b/martenjunction/decisions/boxes/suspicion.py
@@ -25,7 +25,7 @@
             began, otherwise one more than the highest known generation.
             Concurrent runs, which a single outage may end, have the same
             generation.
-        builds: Builds of those endpoints: software and configuration.
+        builds: Builds of the crashed endpoints: software and configuration.
         tries: Number of trials, which run one at a time, in this epoch.
         quarantined: Whether boxes have stopped sending the request.
         releases: Number of trials allowed by expired back-off since then.
