--- a/martenjunction/decisions/boxes/endpoint_choice.py
+++ b/martenjunction/decisions/boxes/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to."""
+"""Endpoint selection for requests."""
 
 import dataclasses
 import math
@@ -9,56 +9,61 @@
 from martenjunction.decisions.boxes import endpoint_records
 from martenjunction.decisions.boxes import shedding
 
-# Seconds that an answer from another availability zone takes longer.
+# Additional latency in seconds of a response from another availability zone.
 FAR_ZONE_S = 0.0005
 
-# Seconds that a certain failure is worth, as a cost of choosing.
+# Cost in seconds of a failure whose probability is 1.
 FAILURE_COST_S = 0.1
 
-# Seconds that reading one shared token again is worth: the users pay about as
-# much for 6,000 of them as for a long answer that comes late.
+# Cost in seconds of prefilling one shared token again: 6,000 such tokens cost
+# users about as much as a long response that misses its deadline.
 SHARED_TOKEN_COST_S = 0.0001
 
-# Part of an engine's time in which it may read short prompts before streams
-# beside them wait for piece after piece, and long ones before they queue for
-# longer than reading them takes. Endpoints are divided by what is asked of
-# each kind over its part.
-SHORT_READING_PART = 0.4
-LONG_READING_PART = 0.7
-
-# Part of an engine's places that short streams take where it is kept for them,
-# and the largest part of the endpoints that may be kept.
-SHORT_PLACES_PART = 0.6
+# Fractions of an engine's time that may be spent on prefilling short and long
+# prompts. Above the first, streams on the same engine wait for several prefill
+# chunks in a row; above the second, long prompts queue for longer than their
+# own prefill takes. Endpoints are divided in proportion to the demand of each
+# kind divided by its fraction.
+SHORT_PREFILL_FRACTION = 0.4
+LONG_PREFILL_FRACTION = 0.7
+
+# Fraction of the concurrency slots that short streams may fill on endpoints
+# reserved for them, and the maximum fraction of endpoints that may be reserved.
+SHORT_SLOT_FRACTION = 0.6
 MOST_SHORT_PART = 0.5
 
-# Cost in seconds of a long prompt where it is read beside short streams: the
-# first one as long as all that is unread there is read within a part of the
-# shortest pause that streams may have; beyond that, for each of them, since
-# all that run there come late at once. An endpoint that is kept free of long
-# prompts costs as much as one with many.
-LONG_BESIDE_SHORT_S = 0.15
+# Cost in seconds of a long prompt on an endpoint that runs short streams. The
+# first value applies while the prefill of the prompt and of the backlog there
+# fits into a fraction of the shortest pause that streams tolerate. Above that,
+# the second value applies per short stream, because all streams there are
+# delayed at once. The third value is the minimum on a reserved endpoint, which
+# therefore costs as much as one with many short streams.
+LONG_BESIDE_SHORT_COST_S = 0.15
 LONG_A_SHORT_STREAM_S = 0.15
-LONG_AMONG_SHORT_S = 3.0
-HELD_UP_PART = 0.25
+LONG_ON_RESERVED_COST_S = 3.0
+MAX_DELAY_FRACTION = 0.25
 
-# Cost in seconds of a short prompt on an endpoint that gets long ones.
-SHORT_AMONG_LONG_S = 0.2
+# Cost in seconds of a short prompt on an endpoint that serves long prompts.
+SHORT_ON_UNRESERVED_COST_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint for a request, and what the choice was made from.
+    """An endpoint selected for a request, with the inputs of the selection.
 
     Attributes:
         record: The endpoint.
-        unread: Prompt tokens that it would have to read.
-        predicted_s: Seconds to a first event, or to a plain answer.
-        running: Requests of all boxes there.
-        ahead: Unread tokens there that go first.
-        waiting: All unread tokens there.
-        short_running: Requests with short prompts there.
-        debt: Tokens sent there beyond the rate for long prompts.
-        again: Tokens of the unread ones that other requests may share.
+        unread: Prompt tokens that the endpoint would have to prefill.
+        predicted_s: Predicted time in seconds to the first event, or to a plain
+            response.
+        running: Requests of all boxes at the endpoint.
+        ahead: Prefill backlog in tokens that is served before the request.
+        waiting: Total prefill backlog of the endpoint in tokens.
+        short_running: Requests with short prompts at the endpoint.
+        debt: Tokens sent to the endpoint in excess of the rate for long
+            prompts.
+        again: Tokens to prefill that belong to parts shared with other
+            requests.
     """
 
     record: endpoint_records.EndpointRecord
@@ -73,9 +78,9 @@
 
     @property
     def busy(self) -> bool:
-        """Whether others wait there, or few of its places are left."""
-        places = shedding.BUSY_PART * self.record.slots
-        return self.ahead > 0 or self.running >= places
+        """Whether requests queue there or at least half its slots are used."""
+        busy_slots = shedding.BUSY_FRACTION * self.record.slots
+        return self.ahead > 0 or self.running >= busy_slots
 
 
 def choose(
@@ -83,48 +88,51 @@
     demand: endpoint_records.Demand,
     now: float,
     rng: random.Random,
-    apart: bool = False,
+    isolated: bool = False,
 ) -> Choice | None:
-    """Chooses an endpoint.
+    """Selects an endpoint for a request.
 
-    None that wants rest is taken. Those that are ejected or refused work a
-    moment ago are taken only where there is no other; a trial goes to a request
-    that may be repeated.
+    Endpoints in back-off are never selected. Endpoints that are ejected or that
+    recently refused a request are selected only if there is no alternative.
+    Half-open probes use only requests that may be repeated.
 
     Args:
         records: Endpoints that are listed as ready.
         demand: The request.
         now: The current time.
         rng: Breaks ties.
-        apart: Whether it is chosen among the sound ones where fewest run.
+        isolated: Whether to consider only the healthy endpoints with the fewest
+            running requests.
 
     Returns:
-        The choice, or None if no endpoint may get it.
+        The choice, or None if no endpoint may receive the request.
     """
     records = [r for r in records if r.accepts(now)]
     if not records:
         return None
     ejected = endpoint_states.EndpointState.EJECTED
-    sound = [r for r in records if r.health.state is not ejected]
-    if demand.repeatable and not apart:
-        trials = [r for r in records if r not in sound and r.may_get_work(now)]
-        if trials:
-            return weigh(rng.choice(trials), demand, False, now)
-    fit = [r for r in sound if r.may_get_work(now)] or sound or records
-    if apart:
-        fewest = min(r.loads.running(now) for r in fit)
-        fit = [r for r in fit if r.loads.running(now) <= fewest]
-    short: set[str] = set()
+    healthy = [r for r in records if r.health.state is not ejected]
+    if demand.repeatable and not isolated:
+        probes = [r for r in records if r not in healthy and r.is_eligible(now)]
+        if probes:
+            return weigh(rng.choice(probes), demand, False, now)
+    eligible = [r for r in healthy if r.is_eligible(now)] or healthy or records
+    if isolated:
+        fewest = min(r.loads.running(now) for r in eligible)
+        eligible = [r for r in eligible if r.loads.running(now) <= fewest]
+    reserved: set[str] = set()
     owner: str | None = None
     if demand.is_engine:
-        # What takes only so many requests a second can be no home of any kind
-        # of them, and is not open to all requests alike.
-        homes = [r for r in fit if not r.limited] or fit
-        short = kept_for_short(homes, demand, now)
-        owner = _owner(homes, demand, short)
-    rng.shuffle(fit)
-    choices = [weigh(r, demand, r.id == owner, now) for r in fit]
-    return min(choices, key=lambda c: _cost_s(c, demand, c.record.id in short))
+        # Rate-limited endpoints cannot take all requests of a kind, so they are
+        # excluded from reservation and affinity.
+        candidates = [r for r in eligible if not r.limited] or eligible
+        reserved = kept_for_short(candidates, demand, now)
+        owner = _affinity_owner(candidates, demand, reserved)
+    rng.shuffle(eligible)
+    choices = [weigh(r, demand, r.id == owner, now) for r in eligible]
+    return min(
+        choices, key=lambda c: _cost_s(c, demand, c.record.id in reserved)
+    )
 
 
 def kept_for_short(
@@ -132,13 +140,14 @@
     demand: endpoint_records.Demand,
     now: float,
 ) -> set[str]:
-    """Returns the endpoints of an engine service that get short prompts.
+    """Returns the endpoints of an engine service reserved for short prompts.
 
-    There are none where streams stay in time beside prompts that are read.
-    Boxes that know the same endpoints and loads come to the same answer.
+    No endpoint is reserved if streams stay within their pause limit while their
+    engine prefills prompts. The result is deterministic: boxes with the same
+    endpoints and loads reserve the same endpoints.
 
     Args:
-        records: Endpoints of the service that may get work.
+        records: Endpoints of the service that may receive requests.
         demand: A request for the service.
         now: The current time.
     """
@@ -147,30 +156,30 @@
     order = rendezvous.ranked(
         [r.id for r in records], f"short {demand.service}"
     )
-    short = demand.asked.short / SHORT_READING_PART
-    asked = short + demand.asked.long / LONG_READING_PART
-    count = round(len(order) * short / asked) if asked else 0
+    short = demand.asked.short / SHORT_PREFILL_FRACTION
+    total = short + demand.asked.long / LONG_PREFILL_FRACTION
+    count = round(len(order) * short / total) if total else 0
     running = sum(record.loads.short_running(now) for record in records)
-    places = sum(record.slots for record in records) / max(1, len(records))
-    count = max(1, count, math.ceil(running / (places * SHORT_PLACES_PART)))
+    slots = sum(record.slots for record in records) / max(1, len(records))
+    count = max(1, count, math.ceil(running / (slots * SHORT_SLOT_FRACTION)))
     return set(order[: min(count, int(len(order) * MOST_SHORT_PART))])
 
 
 def weigh(
     record: endpoint_records.EndpointRecord,
     demand: endpoint_records.Demand,
-    belongs: bool,
+    has_affinity: bool,
     now: float,
 ) -> Choice:
-    """Returns what is expected of a request at one endpoint.
+    """Returns the prediction for a request at one endpoint.
 
     Args:
         record: The endpoint.
         demand: The request.
-        belongs: Whether the request's subject belongs there.
+        has_affinity: Whether the endpoint has affinity for the request.
         now: The current time.
     """
-    unread = record.unread(demand, belongs)
+    unread = record.unread(demand, has_affinity)
     return Choice(
         record,
         unread,
@@ -185,9 +194,9 @@
 
 
 def _cost_s(
-    choice: Choice, demand: endpoint_records.Demand, for_short: bool
+    choice: Choice, demand: endpoint_records.Demand, reserved: bool
 ) -> float:
-    """Returns the cost, in seconds, of a choice."""
+    """Returns the cost of a choice in seconds."""
     record = choice.record
     cost = choice.predicted_s + record.failures.value * FAILURE_COST_S
     if record.zone != demand.zone:
@@ -195,36 +204,38 @@
     if demand.is_engine:
         cost += choice.again * SHARED_TOKEN_COST_S
         if demand.is_long:
-            cost += _beside_short_s(choice, demand, for_short)
-        elif not for_short and not record.limited:
-            cost += SHORT_AMONG_LONG_S
+            cost += _long_cost_s(choice, demand, reserved)
+        elif not reserved and not record.limited:
+            cost += SHORT_ON_UNRESERVED_COST_S
     return cost
 
 
-def _beside_short_s(
-    choice: Choice, demand: endpoint_records.Demand, for_short: bool
+def _long_cost_s(
+    choice: Choice, demand: endpoint_records.Demand, reserved: bool
 ) -> float:
-    """Returns the cost of a long prompt beside short streams.
+    """Returns the cost in seconds of a long prompt beside short streams.
 
-    Streams that run at an endpoint that is no longer kept for them count as
-    well: 16,450 tokens beside 25 of them made all 25 late.
+    Short streams also count on an endpoint that is no longer reserved for them:
+    a prefill of 16,450 tokens delayed all 25 streams that still ran there.
     """
-    if demand.reads_beside_streams or not (for_short or choice.short_running):
+    if demand.reads_beside_streams or not (reserved or choice.short_running):
         return 0.0
-    held_up_s = demand.figures.reading_s(choice.unread + choice.waiting)
-    if held_up_s <= HELD_UP_PART * (demand.shortest_pause_s or 0.0):
-        return LONG_BESIDE_SHORT_S
-    harm_s = choice.short_running * LONG_A_SHORT_STREAM_S
-    return max(harm_s, LONG_AMONG_SHORT_S if for_short else 0.0)
+    delay_s = demand.figures.prefill_s(choice.unread + choice.waiting)
+    if delay_s <= MAX_DELAY_FRACTION * (demand.shortest_pause_s or 0.0):
+        return LONG_BESIDE_SHORT_COST_S
+    streams_cost_s = choice.short_running * LONG_A_SHORT_STREAM_S
+    return max(streams_cost_s, LONG_ON_RESERVED_COST_S if reserved else 0.0)
 
 
-def _owner(
-    fit: list[endpoint_records.EndpointRecord],
+def _affinity_owner(
+    records: list[endpoint_records.EndpointRecord],
     demand: endpoint_records.Demand,
-    short: set[str],
+    reserved: set[str],
 ) -> str | None:
-    """Returns the endpoint to which a request's subject belongs."""
+    """Returns the id of the endpoint with affinity for a request, or None."""
     if demand.subject is None:
         return None
-    matching = [r.id for r in fit if (r.id in short) is not demand.is_long]
-    return rendezvous.owner(matching or [r.id for r in fit], demand.subject)
+    matching = [
+        r.id for r in records if (r.id in reserved) is not demand.is_long
+    ]
+    return rendezvous.owner(matching or [r.id for r in records], demand.subject)
--- a/martenjunction/decisions/boxes/endpoint_limits.py
+++ b/martenjunction/decisions/boxes/endpoint_limits.py
@@ -1,7 +1,8 @@
-"""The requests a second that endpoints say they take from all boxes.
+"""Rate limits that endpoints announce for the requests of all boxes.
 
-A limit is the word of one start of an endpoint. Answers and peers tell it in
-any order; what was first heard later holds, and what binds more is believed at
+A limit belongs to one incarnation of an endpoint. Responses and peers may
+report limits in any order: the most recently issued report applies, ordered by
+the time at which any box first received it, and a stricter limit applies at
 once.
 """
 
@@ -10,34 +11,34 @@
 
 from martenjunction.decisions import grant_bucket
 
-# Words that are remembered, and seconds for which one is that its endpoint has
-# no limit any more: late news of its limit must not bring that back.
-MAX_WORDS = 1024
-ENDED_LIFETIME_S = 60.0
+# Maximum number of remembered reports, and the seconds for which the removal of
+# a limit is remembered, so that a delayed report does not restore it.
+MAX_REPORTS = 1024
+REMOVAL_LIFETIME_S = 60.0
 
 
 @dataclasses.dataclass(slots=True)
 class Word:
-    """What an endpoint said last.
+    """The latest limit reported for an endpoint.
 
     Attributes:
-        per_s: Requests a second; None if it has no limit any more.
-        since: Steady clock when that was first heard.
-        closed_until: Steady clock until which this box is granted nothing.
+        per_s: Requests per second; None if the endpoint has no limit any more.
+        since: Steady clock time at which the limit was first reported.
+        closed_until: Steady clock time until which this box receives no grant.
     """
 
     per_s: float | None
     since: float
-    closed_until: float = 0.0
+    blocked_until: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A word that differs from the one before.
+    """A change of an endpoint's limit.
 
     Attributes:
-        before: Requests a second before it; None for no limit.
-        per_s: The same from now on.
+        before: Previous limit in requests per second; None for no limit.
+        per_s: New limit in requests per second; None for no limit.
     """
 
     before: float | None
@@ -45,24 +46,26 @@
 
 
 class LimitTable:
-    """What one box knows of the limits of all endpoints."""
+    """The limits of all endpoints, as known to one box."""
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._reports: dict[str, Word] = {}
 
     @property
     def words(self) -> dict[str, Word]:
-        """What each endpoint said last, to be read only."""
-        return self._words
+        """The latest report of each endpoint by id; read-only."""
+        return self._reports
 
     def limited(self) -> list[str]:
-        """Returns ids of the endpoints that name a limit."""
-        return [i for i, word in self._words.items() if word.per_s is not None]
+        """Returns the ids of the endpoints with a limit."""
+        return [
+            i for i, report in self._reports.items() if report.per_s is not None
+        ]
 
     def per_s(self, endpoint_id: str) -> float | None:
-        """Returns an endpoint's limit in requests a second; None for none."""
-        word = self._words.get(endpoint_id)
-        return None if word is None else word.per_s
+        """Returns a limit in requests per second, or None for no limit."""
+        report = self._reports.get(endpoint_id)
+        return None if report is None else report.per_s
 
     def say(
         self,
@@ -71,92 +74,93 @@
         asked_at: float,
         now: float,
     ) -> Change | None:
-        """Takes in what an answer to this box says.
+        """Applies the limit in a response to this box.
 
-        An answer to a request that was sent before the word that holds was
-        heard may be older than that word: it may bind more, but not less.
+        If the request was sent before the current report was received, the
+        response may be older than the report. It can then only tighten the
+        limit.
 
         Args:
             endpoint_id: The endpoint.
-            per_s: The limit that it names; None for none.
-            asked_at: When the request was sent, steady clock.
+            per_s: The limit in requests per second; None for no limit.
+            asked_at: Steady clock time at which the request was sent.
             now: The current time.
 
         Returns:
-            What changed, or None.
+            The change, or None if nothing changed.
         """
         per_s = grant_bucket.binding(per_s)
-        word = self._words.get(endpoint_id)
-        may_be_older = word is not None and asked_at < word.since
-        if may_be_older and not _binds_more(per_s, self.per_s(endpoint_id)):
+        report = self._reports.get(endpoint_id)
+        may_be_older = report is not None and asked_at < report.since
+        if may_be_older and not _is_stricter(per_s, self.per_s(endpoint_id)):
             return None
         return self._set(endpoint_id, per_s, now)
 
     def take(
         self, endpoint_id: str, per_s: float | None, since: float
     ) -> Change | None:
-        """Takes in what another box heard.
+        """Applies a limit that another box reports.
 
         Args:
             endpoint_id: The endpoint; it need not be listed.
-            per_s: The limit that it names; None for none.
-            since: Steady clock when that box first heard it.
+            per_s: The limit in requests per second; None for no limit.
+            since: Steady clock time at which that box first received it.
 
         Returns:
-            What changed, or None.
+            The change, or None if nothing changed.
         """
-        word = self._words.get(endpoint_id)
-        if word is not None and since <= word.since:
+        report = self._reports.get(endpoint_id)
+        if report is not None and since <= report.since:
             return None
         return self._set(endpoint_id, grant_bucket.binding(per_s), since)
 
     def is_open(self, endpoint_id: str, now: float) -> bool:
-        """Returns whether a request may be meant for an endpoint now."""
+        """Returns whether a request may be sent to an endpoint now."""
         return not self.opens_in_s(endpoint_id, now)
 
     def opens_in_s(self, endpoint_id: str, now: float) -> float:
-        """Returns the seconds until this box may ask for a grant; 0 for now."""
-        word = self._words.get(endpoint_id)
-        if word is None or word.per_s is None:
+        """Returns the seconds until this box may request a grant; 0 for now."""
+        report = self._reports.get(endpoint_id)
+        if report is None or report.per_s is None:
             return 0.0
-        return max(0.0, word.closed_until - now)
+        return max(0.0, report.blocked_until - now)
 
     def close(self, endpoint_id: str, until: float) -> None:
-        """Notes that this box is granted nothing before a moment."""
-        word = self._words.get(endpoint_id)
-        if word is not None:
-            word.closed_until = until
+        """Stops this box from requesting grants until a given time."""
+        report = self._reports.get(endpoint_id)
+        if report is not None:
+            report.blocked_until = until
 
     def keep_only(self, listed: Container[str], now: float) -> None:
-        """Forgets what is no longer of use.
+        """Removes expired reports.
 
         Args:
-            listed: Ids of the endpoints that there are.
+            listed: Ids of the listed endpoints.
             now: The current time.
         """
-        gone = [
+        expired = [
             endpoint_id
-            for endpoint_id, word in self._words.items()
-            if now - word.since > ENDED_LIFETIME_S
-            and (word.per_s is None or endpoint_id not in listed)
+            for endpoint_id, report in self._reports.items()
+            if now - report.since > REMOVAL_LIFETIME_S
+            and (report.per_s is None or endpoint_id not in listed)
         ]
-        for endpoint_id in gone:
-            del self._words[endpoint_id]
+        for endpoint_id in expired:
+            del self._reports[endpoint_id]
 
     def _set(
         self, endpoint_id: str, per_s: float | None, since: float
     ) -> Change | None:
-        word = self._words.get(endpoint_id)
-        before = None if word is None else word.per_s
+        report = self._reports.get(endpoint_id)
+        before = None if report is None else report.per_s
         if per_s == before:
             return None
-        self._words.pop(endpoint_id, None)
-        while len(self._words) >= MAX_WORDS:
-            del self._words[next(iter(self._words))]
-        self._words[endpoint_id] = Word(per_s, since)
+        self._reports.pop(endpoint_id, None)
+        while len(self._reports) >= MAX_REPORTS:
+            del self._reports[next(iter(self._reports))]
+        self._reports[endpoint_id] = Word(per_s, since)
         return Change(before, per_s)
 
 
-def _binds_more(per_s: float | None, other: float | None) -> bool:
-    """Returns whether a limit binds more than another one."""
+def _is_stricter(per_s: float | None, other: float | None) -> bool:
+    """Returns whether a limit is stricter than another one."""
     return per_s is not None and (other is None or per_s < other)
--- a/martenjunction/decisions/boxes/endpoint_list.py
+++ b/martenjunction/decisions/boxes/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get work: the platform's list and what it lacks."""
+"""List of the endpoints, with a grace period for entries that lapse."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 from martenjunction import model
 from martenjunction import revisions
 
-# Seconds after the store's return for which an entry that went away during
-# its outage is kept: its endpoint may not have been able to write.
+# Seconds for which an entry that disappeared during an outage of the store is
+# kept after the store returns: its endpoint may have been unable to write.
 LAPSE_GRACE_S = 2.0
 
 # Seconds after the store is restored from a copy for which restored entries of
@@ -20,17 +20,17 @@
 # longer is being written by its endpoint.
 CONFIRMATION_S = 5.0
 
-# Seconds without an answer of the store to any box after which entries may
-# have lapsed. Endpoints write about every 1.2 s and their entries go after
-# three missed writes, so an outage of less than 2.4 s makes none lapse; a box
-# that begins to read in place of another one has waited for 1.7 s at most.
-SHORTEST_LAPSE_S = 2.2
+# Minimum length in seconds of a store outage, as seen by all boxes, after which
+# entries may have lapsed. Endpoints write about every 1.2 s and their entries
+# are dropped after three missed writes, so no entry lapses in an outage of less
+# than 2.4 s. A box that takes over as reader has waited for at most 1.7 s.
+MIN_LAPSE_OUTAGE_S = 2.2
 
 # Limits on the remembered state: removed entries with their last revision, so
 # that late updates do not add them again; ended endpoints, so that a restored
-# copy of the store does not; restarted endpoints; and endpoints that announced
-# that they leave.
-MAX_GONE = 1024
+# copy of the store does not add them again; restarted endpoints; and endpoints
+# that announced that they are leaving.
+MAX_REMOVED = 1024
 MAX_ENDED = 1024
 MAX_RESTARTED = 256
 MAX_LEAVING = 1024
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Listed:
-    """An endpoint of the list.
+    """An entry of the list.
 
     Attributes:
-        endpoint: What it says of itself.
-        revision: The store's revision of that.
-        lapsed: Whether its entry is missing and it is only kept for a while.
+        endpoint: The endpoint as described by its entry.
+        revision: The store's revision of the entry.
+        lapsed: Whether the entry is missing and only kept for the grace period.
     """
 
     endpoint: model.Endpoint
@@ -52,19 +52,20 @@
 
 
 class EndpointList:
-    """The endpoints of all services, as one box knows them.
+    """The endpoints of all services, as known to one box.
 
-    An endpoint that starts again under the name that it had is another one.
-    Which start is the later one follows from the store's revision of the
-    entry: a clock that jumped back must not make it the earlier one for good.
+    An endpoint that restarts under the same name is a new incarnation with its
+    own id. Incarnations are ordered by the store's revision of the entry rather
+    than by their clocks: a clock that jumps back must not make a new
+    incarnation look older for good.
     """
 
     def __init__(self) -> None:
         self._listed: dict[str, Listed] = {}
-        self._starts: dict[str, str] = {}
+        self._current_ids: dict[str, str] = {}
         self._restarted: dict[str, None] = {}
         self._leaving: dict[str, None] = {}
-        self._gone: dict[str, revisions.Revision] = {}
+        self._removed: dict[str, revisions.Revision] = {}
         self._ended: dict[str, revisions.Revision] = {}
         self._unconfirmed: dict[str, Listed] = {}
         self._unconfirmed_until = 0.0
@@ -78,35 +79,35 @@
 
     @property
     def revision(self) -> revisions.Revision:
-        """The store's revision up to which changes are known."""
+        """Revision of the store up to which changes have been applied."""
         return self._revision
 
     @property
     def known(self) -> bool:
-        """Whether a list was ever taken in."""
+        """Whether a full listing was ever applied."""
         return self._revision > revisions.NONE
 
     @property
     def entries(self) -> dict[str, Listed]:
-        """All entries by endpoint id, to be read only."""
+        """All entries by endpoint id; read-only."""
         return self._listed
 
     @property
     def names(self) -> Set[str]:
-        """The names of all entries, to be read only."""
-        return self._starts.keys()
+        """The names of all entries; read-only."""
+        return self._current_ids.keys()
 
     def restarted(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint was lost, as it started again."""
+        """Returns whether an endpoint was lost because it restarted."""
         return endpoint_id in self._restarted
 
     @property
     def leaving(self) -> list[str]:
-        """Ids of listed endpoints that said that they leave."""
+        """Ids of the listed endpoints that announced that they are leaving."""
         return [i for i in self._leaving if i in self._listed]
 
     def ready(self, service: str) -> list[model.Endpoint]:
-        """Returns a service's endpoints that may get new work."""
+        """Returns the endpoints of a service that may receive new requests."""
         return [
             listed.endpoint
             for listed in self._listed.values()
@@ -115,18 +116,18 @@
         ]
 
     def ready_ids(self) -> list[str]:
-        """Returns the ids of all endpoints that may get new work, in order."""
+        """Returns the sorted ids of endpoints that may receive new requests."""
         return sorted(i for i in self._listed if self.may_send(i))
 
     def digest(self) -> int:
-        """Returns a digest of the ids of all that may get new work."""
+        """Returns a digest of the ids of ready endpoints."""
         if self._digest is None:
             ids = ",".join(self.ready_ids())
             self._digest = xxhash.xxh3_64_intdigest(ids.encode())
         return self._digest
 
     def may_send(self, endpoint_id: str) -> bool:
-        """Returns whether an endpoint may get new work at this moment."""
+        """Returns whether an endpoint may receive new requests now."""
         listed = self._listed.get(endpoint_id)
         return (
             listed is not None
@@ -139,18 +140,21 @@
         revision: revisions.Revision,
         now: float,
     ) -> list[str]:
-        """Takes in a whole list.
+        """Applies a full listing.
 
         Args:
-            entries: Endpoints, each with the revision of its entry.
-            revision: The store's revision when it was read.
+            entries: Endpoints with the revisions of their entries.
+            revision: The store's revision of the listing.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         return self._take_all(
-            entries, set(), revision, lambda i: self._end(i, revision, now)
+            entries,
+            set(),
+            revision,
+            lambda i: self._handle_missing(i, revision, now),
         )
 
     def take_view(
@@ -160,29 +164,34 @@
         revision: revisions.Revision,
         now: float,
     ) -> list[str]:
-        """Takes in what another box knows.
+        """Applies the view of another box.
 
-        That box has already waited for entries that lapsed, so what it does
-        not have is gone. Right after the store was restored, such entries get
-        the grace period instead, as that box may have started since.
+        That box has already waited for the grace period of lapsed entries, so
+        entries that it does not have are removed. Shortly after a restore of
+        the store, such entries get the grace period instead, because that box
+        may have started since.
 
         Args:
-            changed: Endpoints whose entries changed, each with its revision.
-            ready: Ids of all endpoints that may get work.
-            revision: The store's revision up to which that box knows.
+            changed: Endpoints whose entries changed, with their revisions.
+            ready: Ids of all endpoints that may receive requests.
+            revision: The store's revision up to which that box has applied
+                changes.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
 
-        def end(endpoint_id: str) -> list[str]:
+        def handle_missing(endpoint_id: str) -> list[str]:
             if now < self._restore_grace_until:
-                return self._end(endpoint_id, revision, now)
+                return self._handle_missing(endpoint_id, revision, now)
             return self._drop(endpoint_id, revision)
 
-        told = [(_told_by_box(e, ready), its) for e, its in changed]
-        return self._take_all(told, ready, revision, end)
+        reported = [
+            (_as_reported_by_box(e, ready), entry_revision)
+            for e, entry_revision in changed
+        ]
+        return self._take_all(reported, ready, revision, handle_missing)
 
     def begin_era(self, revision: revisions.Revision, now: float) -> None:
         """Handles a restore of the store from an older copy.
@@ -203,24 +212,23 @@
     def take_change(
         self, endpoint: model.Endpoint, revision: revisions.Revision
     ) -> list[str]:
-        """Takes in one entry; returns ids that may no longer get work."""
+        """Applies an entry; returns the ids that may no longer get requests."""
         if self._is_unconfirmed(endpoint.id, revision):
             self._unconfirmed[endpoint.id] = Listed(endpoint, revision)
             return []
-        known = self._listed.get(self._starts.get(endpoint.entry, ""))
-        if revision <= self._gone.get(endpoint.entry, revisions.NONE):
+        current = self._listed.get(self._current_ids.get(endpoint.entry, ""))
+        if revision <= self._removed.get(endpoint.entry, revisions.NONE):
             return []
-        if known is not None and known.revision > revision:
+        if current is not None and current.revision > revision:
             return []
-        ended = self._end_earlier(endpoint, known, revision)
+        removed = self._remove_previous(endpoint, current, revision)
         self._ended.pop(endpoint.id, None)
         self._unconfirmed.pop(endpoint.id, None)
         listed = self._listed.get(endpoint.id)
         was_ready = self.may_send(endpoint.id)
         known_to_leave = listed is not None and not was_ready
         if known_to_leave or endpoint.id in self._leaving:
-            # An endpoint that once said that it leaves does not come back,
-            # whatever its entry says after that, or does not say.
+            # Leaving is final: later states of the entry do not undo it.
             endpoint = dataclasses.replace(
                 endpoint, state=model.EndpointState.DRAINING
             )
@@ -228,71 +236,75 @@
         if is_ready != was_ready:
             self._digest = None
         self._listed[endpoint.id] = Listed(endpoint, revision)
-        self._starts[endpoint.entry] = endpoint.id
-        return [*ended, endpoint.id] if was_ready and not is_ready else ended
+        self._current_ids[endpoint.entry] = endpoint.id
+        return (
+            [*removed, endpoint.id] if was_ready and not is_ready else removed
+        )
 
     def _is_unconfirmed(
         self, endpoint_id: str, revision: revisions.Revision
     ) -> bool:
-        """Returns whether an entry of an ended endpoint is only restored."""
-        ended = self._ended.get(endpoint_id)
+        """Returns whether an entry of an ended endpoint was merely restored."""
+        ended_at = self._ended.get(endpoint_id)
         return (
-            ended is not None
-            and ended.era < revision.era
+            ended_at is not None
+            and ended_at.era < revision.era
             and revision <= self._era_start
         )
 
     def take_end(
         self, entry: str, revision: revisions.Revision, now: float
     ) -> list[str]:
-        """Takes in the end of an entry.
+        """Applies the removal of an entry.
 
         Args:
             entry: The entry's name.
-            revision: The store's revision of that.
+            revision: The store's revision of the removal.
             now: The current time.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         for endpoint_id, unconfirmed in list(self._unconfirmed.items()):
             if unconfirmed.endpoint.entry == entry:
                 del self._unconfirmed[endpoint_id]
-        return self._end(self._starts.get(entry, ""), revision, now)
+        return self._handle_missing(
+            self._current_ids.get(entry, ""), revision, now
+        )
 
     def take_foreign(
         self, entry: str, revision: revisions.Revision
     ) -> list[str]:
-        """Takes in that an entry names no endpoint any more.
+        """Handles an entry that no longer describes an endpoint.
 
         Args:
             entry: The entry's name.
-            revision: The store's revision of that.
+            revision: The store's revision of the change.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
-        known = self._starts.get(entry)
-        return [] if known is None else self._drop(known, revision)
+        endpoint_id = self._current_ids.get(entry)
+        return [] if endpoint_id is None else self._drop(endpoint_id, revision)
 
-    def _end_earlier(
+    def _remove_previous(
         self,
         endpoint: model.Endpoint,
-        known: Listed | None,
+        current: Listed | None,
         revision: revisions.Revision,
     ) -> list[str]:
-        """Ends an earlier start of an endpoint; returns its id if listed."""
-        if known is None or known.endpoint.id == endpoint.id:
+        """Removes a previous incarnation; returns its id in a list, if any."""
+        if current is None or current.endpoint.id == endpoint.id:
             return []
-        earlier = known.endpoint.id
-        self._remove(earlier, revision)
+        previous = current.endpoint.id
+        self._remove(previous, revision)
         while len(self._restarted) >= MAX_RESTARTED:
             del self._restarted[next(iter(self._restarted))]
-        self._restarted[earlier] = None
+        self._restarted[previous] = None
         self._restarted.pop(endpoint.id, None)
-        return [earlier]
+        return [previous]
 
-    def _end(
+    def _handle_missing(
         self, endpoint_id: str, revision: revisions.Revision, now: float
     ) -> list[str]:
         listed = self._listed.get(endpoint_id)
@@ -305,14 +317,14 @@
         return self._drop(endpoint_id, revision)
 
     def leave(self, endpoint_id: str, revision: revisions.Revision) -> bool:
-        """Notes that an endpoint may get no more work.
+        """Marks an endpoint as draining.
 
         Args:
             endpoint_id: The endpoint.
-            revision: The store's revision of that.
+            revision: The store's revision at which it was found to be draining.
 
         Returns:
-            Whether that is news.
+            Whether the endpoint's state changed.
         """
         listed = self._listed.get(endpoint_id)
         if not self.may_send(endpoint_id) or listed is None:
@@ -325,28 +337,28 @@
         return True
 
     def _unchanged_since_restore(
-        self, held: revisions.Revision, told: revisions.Revision
+        self, listed: revisions.Revision, reported: revisions.Revision
     ) -> bool:
         """Returns whether an entry has not been written since the restore.
 
         A revision of an earlier era then counts as newer than the entry.
 
         Args:
-            held: The revision of the listed entry.
-            told: The revision that another box reports.
+            listed: The revision of the listed entry.
+            reported: The revision that another box reports.
         """
-        return told.era < held.era and held <= self._era_start
+        return reported.era < listed.era and listed <= self._era_start
 
     def say_leaving(self, endpoint_id: str) -> bool:
-        """Takes in that an endpoint says itself that it leaves.
+        """Records that an endpoint itself announced that it is leaving.
 
-        That holds for this start of it, for good, whatever its entry says.
+        This is final for this incarnation, whatever its entry says.
 
         Args:
             endpoint_id: The endpoint; it need not be listed.
 
         Returns:
-            Whether that is news.
+            Whether this was unknown before.
         """
         if endpoint_id in self._leaving:
             return False
@@ -365,26 +377,27 @@
         self._digest = None
 
     def advance(self, revision: revisions.Revision) -> None:
-        """Notes that all changes up to a revision were taken in."""
+        """Records that all changes up to a revision have been applied."""
         self._revision = max(self._revision, revision)
 
     def store_lost(self) -> None:
-        """Notes that the store does not answer."""
+        """Records that the store does not respond."""
         self._store_lost = True
 
     def store_returned(self, now: float, away_s: float) -> None:
-        """Notes that the store answers.
+        """Records that the store responds again.
 
         Args:
             now: The current time.
-            away_s: Seconds since it is last known to have answered any box.
+            away_s: Seconds since the store is last known to have responded to
+                any box.
         """
         self._store_lost = False
-        if away_s >= SHORTEST_LAPSE_S:
+        if away_s >= MIN_LAPSE_OUTAGE_S:
             self._grace_until = now + LAPSE_GRACE_S
 
     def expire(self, now: float) -> list[str]:
-        """Drops lapsed entries whose time is over; returns their ids.
+        """Removes lapsed entries after the grace period; returns their ids.
 
         Also accepts unconfirmed entries once `CONFIRMATION_S` has passed.
         """
@@ -394,16 +407,16 @@
             self._accept_unconfirmed()
         if now < self._grace_until:
             return []
-        gone = [i for i, listed in self._listed.items() if listed.lapsed]
-        for endpoint_id in gone:
+        lapsed = [i for i, listed in self._listed.items() if listed.lapsed]
+        for endpoint_id in lapsed:
             self._remove(endpoint_id, self._revision)
-        return gone
+        return lapsed
 
     def _accept_unconfirmed(self) -> None:
         unconfirmed, self._unconfirmed = self._unconfirmed, {}
         for endpoint_id, entry in unconfirmed.items():
             self._ended.pop(endpoint_id, None)
-            if entry.endpoint.entry not in self._starts:
+            if entry.endpoint.entry not in self._current_ids:
                 self.take_change(entry.endpoint, entry.revision)
 
     def _take_all(
@@ -411,32 +424,33 @@
         entries: Iterable[tuple[model.Endpoint, revisions.Revision]],
         others: Set[str],
         revision: revisions.Revision,
-        end: Callable[[str], list[str]],
+        handle_missing: Callable[[str], list[str]],
     ) -> list[str]:
-        """Takes in entries, and the end of all that are not there.
+        """Applies entries and removes all endpoints that are not present.
 
         Args:
-            entries: Endpoints, each with the revision of its entry.
-            others: Ids of endpoints that are there beside these.
-            revision: The store's revision up to which that is known.
-            end: Takes in the end of an entry; returns ids that left.
+            entries: Endpoints with the revisions of their entries.
+            others: Ids of other endpoints that are present.
+            revision: The store's revision of the entries.
+            handle_missing: Handles a missing endpoint; returns the ids that
+                were removed.
 
         Returns:
-            Ids of endpoints that may no longer get work because of it.
+            Ids of endpoints that may no longer receive requests as a result.
         """
         if revision < self._revision:
             return []
         present = set(others)
-        left: list[str] = []
-        for endpoint, its_revision in entries:
+        removed: list[str] = []
+        for endpoint, entry_revision in entries:
             present.add(endpoint.id)
-            left += self.take_change(endpoint, its_revision)
+            removed += self.take_change(endpoint, entry_revision)
         for missing in [i for i in self._listed if i not in present]:
-            left += end(missing)
+            removed += handle_missing(missing)
         for missing in [i for i in self._unconfirmed if i not in present]:
             del self._unconfirmed[missing]
         self._revision = revision
-        return left
+        return removed
 
     def _remove(self, endpoint_id: str, revision: revisions.Revision) -> None:
         if self.may_send(endpoint_id):
@@ -445,8 +459,8 @@
             del self._ended[next(iter(self._ended))]
         self._ended[endpoint_id] = revision
         entry = self._listed.pop(endpoint_id).endpoint.entry
-        if self._starts.get(entry) == endpoint_id:
-            del self._starts[entry]
+        if self._current_ids.get(entry) == endpoint_id:
+            del self._current_ids[entry]
 
     def _drop(
         self, endpoint_id: str, revision: revisions.Revision
@@ -455,17 +469,19 @@
         if listed.revision > revision:
             return []
         self._remove(endpoint_id, revision)
-        while len(self._gone) >= MAX_GONE:
-            del self._gone[next(iter(self._gone))]
-        self._gone[listed.endpoint.entry] = revision
+        while len(self._removed) >= MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
+        self._removed[listed.endpoint.entry] = revision
         return [endpoint_id]
 
 
-def _told_by_box(endpoint: model.Endpoint, ready: Set[str]) -> model.Endpoint:
-    """Returns an endpoint as the box sees it that tells its entry.
+def _as_reported_by_box(
+    endpoint: model.Endpoint, ready: Set[str]
+) -> model.Endpoint:
+    """Returns an endpoint in the state reported by another box.
 
-    That box may have heard that the endpoint leaves, which the entry does not
-    say.
+    The box may know that the endpoint is leaving although its entry does not
+    say so.
     """
     if endpoint.id in ready:
         return endpoint
--- a/martenjunction/decisions/boxes/endpoint_loads.py
+++ b/martenjunction/decisions/boxes/endpoint_loads.py
@@ -1,23 +1,23 @@
-"""What all boxes have at one endpoint, as one box knows it."""
+"""Load of one endpoint by all boxes, as known to one box."""
 
 import dataclasses
 
-# Seconds for which another box's word on its runs counts.
+# Seconds after which the load reported by another box expires.
 PEER_LOAD_LIFETIME_S = 1.5
 
 
-# Urgencies that the tier of one route spans: its requests are ranked among one
-# another by the tiers of their workspaces.
+# Number of urgencies per route tier. Requests within a route tier are ordered
+# by the tier of their workspace.
 WORKSPACE_TIERS = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadKey:
-    """Requests that are counted together.
+    """Key under which requests are counted.
 
     Attributes:
-        urgency: Their rank; 0 is served first.
-        is_long: Whether their prompts hold up streams beside them.
+        urgency: Rank of the requests; 0 is served first.
+        is_long: Whether their prefill delays streams on the same engine.
     """
 
     urgency: int
@@ -29,8 +29,8 @@
     """Requests of one key at one endpoint.
 
     Attributes:
-        running: Requests there, those that wait included.
-        unread: Prompt tokens that the endpoint has yet to read for them.
+        running: Requests at the endpoint, including queued ones.
+        unread: Prompt tokens that the endpoint has yet to prefill for them.
     """
 
     running: int = 0
@@ -38,13 +38,13 @@
 
 
 class EndpointLoads:
-    """The requests of all boxes at one endpoint, and their sums.
+    """Requests of all boxes at one endpoint, with running totals.
 
-    The sums are kept up to date, so that weighing an endpoint does not grow
-    with the boxes.
+    The totals are updated incrementally, so that the cost of evaluating an
+    endpoint does not grow with the number of boxes.
 
     Attributes:
-        scale: By how much more all boxes have than those that were heard.
+        scale: Ratio of the load of all boxes to that of the boxes that report.
     """
 
     def __init__(self) -> None:
@@ -52,24 +52,24 @@
         self._own: dict[LoadKey, Load] = {}
         self._peers: dict[str, tuple[float, dict[LoadKey, Load]]] = {}
         self._total: dict[LoadKey, Load] = {}
-        self._all_running = 0
-        self._all_unread = 0
-        self._all_short = 0
-        # No peer's word is older than this.
-        self._oldest = 0.0
+        self._total_running = 0
+        self._total_backlog = 0
+        self._total_short = 0
+        # Lower bound of the times of all peer reports.
+        self._oldest_report_at = 0.0
 
     @property
     def own(self) -> dict[LoadKey, Load]:
-        """What this box has there; to be read only."""
+        """The load of this box; read-only."""
         return self._own
 
     @property
     def own_running(self) -> int:
-        """Requests that this box has there."""
+        """Number of this box's requests at the endpoint."""
         return sum(load.running for load in self._own.values())
 
     def add(self, key: LoadKey, running: int, unread: int) -> None:
-        """Books requests of this box that begin there, or end."""
+        """Adds to the load of this box; negative values remove load."""
         load = self._own.setdefault(key, Load())
         load.running += running
         load.unread += unread
@@ -78,34 +78,34 @@
     def take_peer(
         self, box: str, loads: dict[LoadKey, Load], now: float
     ) -> None:
-        """Notes what another box has there."""
+        """Replaces the load reported by another box."""
         _, before = self._peers.pop(box, (0.0, {}))
-        self._count(before, -1)
+        self._add_peer(before, -1)
         if loads:
             if not self._peers:
-                self._oldest = now
+                self._oldest_report_at = now
             self._peers[box] = (now, loads)
-            self._count(loads, 1)
+            self._add_peer(loads, 1)
 
     def running(self, now: float) -> int:
-        """Returns the requests of all boxes there."""
-        self._forget_old(now)
-        return self._all(self._all_running)
+        """Returns the number of requests of all boxes."""
+        self._expire_peers(now)
+        return self._extrapolate(self._total_running)
 
     def short_running(self, now: float) -> int:
-        """Returns the requests of all boxes there with short prompts."""
-        self._forget_old(now)
-        return self._all(self._all_short)
+        """Returns the number of requests of all boxes with short prompts."""
+        self._expire_peers(now)
+        return self._extrapolate(self._total_short)
 
     def ahead(self, urgency: int, now: float) -> int:
-        """Returns the unread tokens of all boxes that go first.
+        """Returns the prefill backlog in tokens that is served first.
 
         Args:
-            urgency: Of the request that would wait.
+            urgency: Urgency of the request that would queue.
             now: The current time.
         """
-        self._forget_old(now)
-        return self._all(
+        self._expire_peers(now)
+        return self._extrapolate(
             sum(
                 load.unread
                 for key, load in self._total.items()
@@ -114,13 +114,13 @@
         )
 
     def lower_tiers(self, urgency: int, now: float) -> int:
-        """Returns the requests there on routes of a lower tier.
+        """Returns the number of requests on routes of a lower tier.
 
         Args:
-            urgency: Of a request.
+            urgency: Urgency of the request to compare with.
             now: The current time.
         """
-        self._forget_old(now)
+        self._expire_peers(now)
         tier = urgency // WORKSPACE_TIERS
         return sum(
             load.running
@@ -129,15 +129,15 @@
         )
 
     def waiting(self, now: float) -> int:
-        """Returns the unread tokens of all boxes there."""
-        self._forget_old(now)
-        return self._all(self._all_unread)
+        """Returns the prefill backlog of all boxes in tokens."""
+        self._expire_peers(now)
+        return self._extrapolate(self._total_backlog)
 
-    def _all(self, heard: int) -> int:
-        """Returns what all boxes have, from what those that are heard have."""
-        return round(heard * self.scale)
+    def _extrapolate(self, reported: int) -> int:
+        """Extrapolates a total of the reporting boxes to all boxes."""
+        return round(reported * self.scale)
 
-    def _count(self, loads: dict[LoadKey, Load], sign: int) -> None:
+    def _add_peer(self, loads: dict[LoadKey, Load], sign: int) -> None:
         for key, load in loads.items():
             self._add_total(key, sign * load.running, sign * load.unread)
 
@@ -145,17 +145,20 @@
         total = self._total.setdefault(key, Load())
         total.running += running
         total.unread += unread
-        self._all_running += running
-        self._all_unread += unread
+        self._total_running += running
+        self._total_backlog += unread
         if not key.is_long:
-            self._all_short += running
+            self._total_short += running
 
-    def _forget_old(self, now: float) -> None:
-        if not self._peers or now - self._oldest < PEER_LOAD_LIFETIME_S:
+    def _expire_peers(self, now: float) -> None:
+        if (
+            not self._peers
+            or now - self._oldest_report_at < PEER_LOAD_LIFETIME_S
+        ):
             return
-        for box, (heard, loads) in list(self._peers.items()):
-            if now - heard >= PEER_LOAD_LIFETIME_S:
+        for box, (reported_at, loads) in list(self._peers.items()):
+            if now - reported_at >= PEER_LOAD_LIFETIME_S:
                 del self._peers[box]
-                self._count(loads, -1)
-        times = [heard for heard, _ in self._peers.values()]
-        self._oldest = min(times, default=now)
+                self._add_peer(loads, -1)
+        times = [reported_at for reported_at, _ in self._peers.values()]
+        self._oldest_report_at = min(times, default=now)
--- a/martenjunction/decisions/boxes/suspect_table.py
+++ b/martenjunction/decisions/boxes/suspect_table.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected to end endpoints, and what is done with them."""
+"""Quarantine of requests that are suspected of crashing endpoints."""
 
 import collections
 from collections.abc import Iterator
@@ -9,48 +9,50 @@
 from martenjunction.decisions.boxes import suspicion
 from martenjunction.routing import request_content
 
-# Requests that are suspected, and how many of them one caller may have: beyond
-# that a caller's own least suspected one is forgotten.
+# Maximum number of suspects, and maximum per caller. Beyond the latter, the
+# caller's least suspected request is evicted.
 MAX_SUSPECTS = 1024
-MAX_OF_CALLER = 256
+MAX_SUSPECTS_PER_CALLER = 256
 
-# Requests that are remembered as answered, and for how many seconds that
-# speaks for them.
+# Maximum number of answered requests that are remembered, and the seconds for
+# which an answer counts in a request's favor.
 MAX_ANSWERED = 1024
 ANSWERED_S = 60.0
 
-# Ends needed at least where a request was answered before.
-LEAST_ENDS_IF_ANSWERED = 4
+# Minimum number of consecutive crashes before a request that was answered
+# recently is quarantined.
+MIN_CRASHES_IF_ANSWERED = 4
 
-# Ends side by side that stand for one in a row where more than the least are
-# needed: copies that come together end many endpoints before any is known.
-BESIDE_FOR_ONE = 2
+# Number of concurrent crashes that count as one consecutive crash where more
+# than the minimum are needed: copies of a request that arrive together crash
+# many endpoints before any crash is known.
+CONCURRENT_PER_CONSECUTIVE = 2
 
-# Seconds for which others wait while one run of a suspect is tried.
+# Seconds for which other runs of a suspect wait during a trial.
 TRIAL_S = 1.0
 
-# Seconds after which a trial that is still running has outlived the runs under
-# which endpoints ended. Less than `TRIAL_S`, so that the other boxes are told
-# before their waits end.
+# Seconds after which a trial that is still running has lasted longer than the
+# runs whose endpoints crashed. Less than `TRIAL_S`, so that the other boxes are
+# notified before their waits expire.
 OUTLIVED_S = 0.8
 
-# Seconds after which a quarantined request is tried once more, how much longer
-# that is each time, and at most.
+# Back-off for trials of a quarantined request: initial delay in seconds, factor
+# per trial, and maximum delay in seconds.
 FIRST_RELEASE_S = 120.0
 RELEASE_FACTOR = 4.0
-LONGEST_RELEASE_S = 3600.0
+MAX_RELEASE_S = 3600.0
 
-# Seconds without news after which a request is no longer suspected.
-FORGET_S = 300.0
+# Seconds without a change after which a suspect is removed.
+SUSPECT_LIFETIME_S = 300.0
 
 
 class Verdict(enum.Enum):
-    """What is done with a request.
+    """Treatment of a request.
 
     Attributes:
-        FREE: It is sent like any other one.
-        ALONE: It is sent as the only run of its content, apart from others.
-        WAIT: Another run of it is being tried.
+        FREE: It is sent like any other request.
+        ALONE: It is sent as the only run of its content, isolated from others.
+        WAIT: It waits, because another run of it is on trial.
         QUARANTINED: It is not sent.
     """
 
@@ -62,15 +64,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ruling:
-    """A verdict and what follows from it.
+    """A verdict with its parameters.
 
     Attributes:
         verdict: The verdict.
-        generation: Of the run, if it is sent.
-        epoch: In which it is sent.
-        again_s: Seconds after which the verdict may be another one.
-        avoid_builds: Builds to which it must not be sent.
-        trial: Number of the trial under which the run is sent; 0 if none.
+        generation: Generation of the run, if it is sent.
+        epoch: Epoch in which the run is sent.
+        again_s: Seconds after which the verdict may change.
+        avoid_builds: Builds to which the request must not be sent.
+        trial: Number of the trial to which the run belongs; 0 if none.
     """
 
     verdict: Verdict
@@ -83,13 +85,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """A suspected request, as one box knows it.
+    """A suspected request, as known to one box.
 
     Attributes:
-        key: The request.
-        held: What is held against it.
-        changed_at: When that changed last.
-        trial_until: Until when a run of it may be under way on its own.
+        key: The request's key.
+        held: The evidence against it.
+        changed_at: Time of the latest change of the evidence.
+        trial_until: Time until which a trial may be running.
     """
 
     key: request_content.ContentKey
@@ -99,16 +101,18 @@
 
 
 class SuspectTable:
-    """The suspected requests that one box knows."""
+    """The suspected requests known to one box."""
 
     def __init__(self) -> None:
-        """Makes an empty table."""
+        """Initializes an empty table."""
         self._suspects: dict[request_content.ContentKey, Suspect] = {}
-        self._of_caller: collections.Counter[bytes] = collections.Counter()
+        self._counts_by_caller: collections.Counter[bytes] = (
+            collections.Counter()
+        )
         self._answered: collections.OrderedDict[
             request_content.ContentKey, float
         ] = collections.OrderedDict()
-        self._hazards: dict[str, endpoint_hazard.EndpointHazard] = {}
+        self._crash_rates: dict[str, endpoint_hazard.EndpointHazard] = {}
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -117,7 +121,7 @@
         return iter(self._suspects.values())
 
     def find(self, key: request_content.ContentKey) -> Suspect | None:
-        """Returns what is known of a request, or None."""
+        """Returns a suspect, or None if the request is not suspected."""
         return self._suspects.get(key)
 
     def judge(
@@ -126,64 +130,69 @@
         builds: frozenset[str],
         now: float,
     ) -> Ruling:
-        """Says what is to be done with a request; changes nothing.
+        """Returns the decision for a request without changing any state.
 
         Args:
-            key: The request.
-            builds: What runs at the endpoints that might get it.
+            key: The request's key.
+            builds: Builds of the endpoints that might receive the request.
             now: The current time.
         """
         suspect = self._suspects.get(key)
         if suspect is None:
             return Ruling(Verdict.FREE)
-        held = suspect.held
-        generation = held.generation + 1
-        free = Ruling(Verdict.FREE, generation, held.epoch)
+        evidence = suspect.held
+        generation = evidence.generation + 1
+        free = Ruling(Verdict.FREE, generation, evidence.epoch)
         if generation == 1:
             return free
-        if held.quarantined:
-            return self._judge_quarantined(suspect, builds, now)
+        if evidence.quarantined:
+            return self._decide_quarantined(suspect, builds, now)
         if suspect.trial_until > now:
             return Ruling(Verdict.WAIT, again_s=suspect.trial_until - now)
-        # One outage ends many runs of a popular request at once; and a trial
-        # still running after `OUTLIVED_S` has outlived the first ones.
-        if generation == 2 and (held.outlived or self._was_answered(key, now)):
+        # A single outage ends many runs of a popular request at once, and a
+        # trial that is still running after `OUTLIVED_S` has lasted longer than
+        # the first runs.
+        if generation == 2 and (
+            evidence.outlived or self._was_answered(key, now)
+        ):
             return free
-        return Ruling(Verdict.ALONE, generation, held.epoch)
+        return Ruling(Verdict.ALONE, generation, evidence.epoch)
 
-    def _judge_quarantined(
+    def _decide_quarantined(
         self, suspect: Suspect, builds: frozenset[str], now: float
     ) -> Ruling:
-        held = suspect.held
-        generation = held.generation + 1
-        release_s = suspect.changed_at + release_pause_s(held) - now
+        evidence = suspect.held
+        generation = evidence.generation + 1
+        delay_s = suspect.changed_at + release_delay_s(evidence) - now
         if suspect.trial_until > now:
             return Ruling(
                 Verdict.QUARANTINED, again_s=suspect.trial_until - now
             )
-        if builds - held.builds:
-            # What runs there now may have mended it.
+        if builds - evidence.builds:
+            # A new build may have fixed the fault.
             return Ruling(
                 Verdict.ALONE,
                 generation,
-                held.epoch,
-                avoid_builds=held.builds,
+                evidence.epoch,
+                avoid_builds=evidence.builds,
             )
-        if release_s <= 0:
-            return Ruling(Verdict.ALONE, generation, held.epoch)
-        return Ruling(Verdict.QUARANTINED, again_s=release_s)
+        if delay_s <= 0:
+            return Ruling(Verdict.ALONE, generation, evidence.epoch)
+        return Ruling(Verdict.QUARANTINED, again_s=delay_s)
 
     def ruling_after_wait(
         self, key: request_content.ContentKey, now: float
     ) -> Ruling | None:
-        """Returns the ruling for a request whose wait for a trial has expired.
+        """Returns the decision for a request after its wait has expired.
+
+        Requests wait while a trial of the same content is running.
 
         Args:
-            key: The request.
+            key: The request's key.
             now: The current time.
 
         Returns:
-            A ruling to send the request if it is not suspected or if this box
+            A decision to send the request if it is not suspected or if this box
             saw its content answered within `ANSWERED_S`; otherwise None.
         """
         suspect = self._suspects.get(key)
@@ -191,13 +200,13 @@
             return Ruling(Verdict.FREE)
         if suspect.held.quarantined or not self._was_answered(key, now):
             return None
-        held = suspect.held
-        return Ruling(Verdict.ALONE, held.generation + 1, held.epoch)
+        evidence = suspect.held
+        return Ruling(Verdict.ALONE, evidence.generation + 1, evidence.epoch)
 
     def begin_trial(
         self, key: request_content.ContentKey, now: float
     ) -> Suspect | None:
-        """Notes that a run of a suspect begins on its own."""
+        """Records the start of a trial run of a suspect."""
         suspect = self._suspects.get(key)
         if suspect is None:
             return None
@@ -209,10 +218,10 @@
         return suspect
 
     def end_trial(self, key: request_content.ContentKey, trial: int) -> None:
-        """Notes that a trial was inconclusive, so that others need not wait.
+        """Ends an inconclusive trial, so that other runs stop waiting.
 
         Args:
-            key: The request.
+            key: The request's key.
             trial: The trial's number; a later trial is not affected.
         """
         suspect = self._suspects.get(key)
@@ -222,10 +231,10 @@
     def note_outlived(
         self, key: request_content.ContentKey, epoch: int
     ) -> Suspect | None:
-        """Notes that a trial is still running after `OUTLIVED_S`.
+        """Records that a trial is still running after `OUTLIVED_S`.
 
         Args:
-            key: The request.
+            key: The request's key.
             epoch: The epoch in which the trial began.
 
         Returns:
@@ -245,35 +254,38 @@
         key: request_content.ContentKey,
         service: str,
         endpoint_id: str,
-        ruling: Ruling,
+        decision: Ruling,
         build: str,
         now: float,
     ) -> Suspect | None:
-        """Notes that an endpoint ended under a run; returns what changed.
+        """Records that an endpoint crashed during a run.
 
         Args:
-            key: The request.
+            key: The request's key.
             service: The service.
             endpoint_id: The endpoint.
-            ruling: By which the run was sent.
-            build: What ran there.
+            decision: The decision under which the run was sent.
+            build: The endpoint's build.
             now: The current time.
+
+        Returns:
+            The suspect if it changed, otherwise None.
         """
-        self._hazard(service).ended(endpoint_id, now)
+        self._crash_rate(service).record_crash(endpoint_id, now)
         suspect = self._suspects.get(key)
-        generation = ruling.generation
+        generation = decision.generation
         if suspect is None:
             suspect = self._add(key, suspicion.Suspicion(service), now)
             generation = 1
-        elif suspect.held.epoch != ruling.epoch:
-            # What was held against it when the run began is void.
+        elif suspect.held.epoch != decision.epoch:
+            # The evidence from the start of the run has been cleared.
             generation = 1
         before = suspect.held.generation
         if not suspect.held.note_end(endpoint_id, generation, build):
             return None
-        self._changed(suspect, before, now)
-        # The box where it ran decides for all: if any box might, the one that
-        # has seen the fewest ends of other runs would.
+        self._update_times(suspect, before, now)
+        # Only the box that sent the run decides. If every box did, the one with
+        # the fewest observed crashes of other runs would decide for all.
         if suspect.held.generation >= self.ends_needed(suspect, now):
             suspect.held.quarantined = True
         return suspect
@@ -281,8 +293,17 @@
     def note_answer(
         self, key: request_content.ContentKey, service: str, now: float
     ) -> Suspect | None:
-        """Notes that an endpoint answered a run; returns what that cleared."""
-        self._hazard(service).answered(now)
+        """Records that an endpoint answered a run, which clears the request.
+
+        Args:
+            key: The request's key.
+            service: The service.
+            now: The current time.
+
+        Returns:
+            The suspect if it was cleared, otherwise None.
+        """
+        self._crash_rate(service).record_answer(now)
         self._answered[key] = now
         self._answered.move_to_end(key)
         if len(self._answered) > MAX_ANSWERED:
@@ -292,7 +313,15 @@
     def clear(
         self, key: request_content.ContentKey, now: float
     ) -> Suspect | None:
-        """Clears a request; returns it if anything was held against it."""
+        """Clears the evidence against a request.
+
+        Args:
+            key: The request's key.
+            now: The current time.
+
+        Returns:
+            The suspect if there was any evidence, otherwise None.
+        """
         suspect = self._suspects.get(key)
         if suspect is None or not suspect.held.generation:
             return None
@@ -304,56 +333,74 @@
     def take(
         self,
         key: request_content.ContentKey,
-        held: suspicion.Suspicion,
+        evidence: suspicion.Suspicion,
         now: float,
     ) -> Suspect | None:
-        """Takes in what another box holds; returns what changed by it."""
+        """Merges the evidence of another box.
+
+        Args:
+            key: The request's key.
+            evidence: The evidence of the other box.
+            now: The current time.
+
+        Returns:
+            The suspect if it changed, otherwise None.
+        """
         suspect = self._suspects.get(key)
         if suspect is None:
-            if not held.generation:
+            if not evidence.generation:
                 return None
-            suspect = self._add(key, suspicion.Suspicion(held.service), now)
+            suspect = self._add(key, suspicion.Suspicion(evidence.service), now)
         before = suspect.held.generation
-        tried = (suspect.held.epoch, suspect.held.tries)
+        previous_trial = (suspect.held.epoch, suspect.held.tries)
         was_outlived = suspect.held.outlived
-        if not suspect.held.merge(held):
+        if not suspect.held.merge(evidence):
             return None
-        self._changed(suspect, before, now)
-        if (suspect.held.epoch, suspect.held.tries) > tried and held.tries:
+        self._update_times(suspect, before, now)
+        if (
+            suspect.held.epoch,
+            suspect.held.tries,
+        ) > previous_trial and evidence.tries:
             suspect.trial_until = now + TRIAL_S
         if suspect.held.outlived and not was_outlived:
             suspect.trial_until = 0.0
         return suspect
 
     def forget(self, now: float) -> None:
-        """Forgets what has lost its meaning."""
+        """Removes expired suspects."""
         for suspect in list(self._suspects.values()):
-            held = suspect.held
-            kept_s = LONGEST_RELEASE_S if held.quarantined else FORGET_S
+            evidence = suspect.held
+            kept_s = (
+                MAX_RELEASE_S if evidence.quarantined else SUSPECT_LIFETIME_S
+            )
             if now - suspect.changed_at > kept_s:
                 self._remove(suspect)
 
     def ends_needed(self, suspect: Suspect, now: float) -> int:
-        """Returns how many ends in a row put a request in quarantine."""
-        held = suspect.held
-        needed = self._hazard(held.service).ends_needed(held.ends, now)
-        least = endpoint_hazard.LEAST_ENDS
+        """Returns how many consecutive crashes put a request in quarantine."""
+        evidence = suspect.held
+        needed = self._crash_rate(evidence.service).ends_needed(
+            evidence.ends, now
+        )
+        minimum = endpoint_hazard.LEAST_ENDS
         if self._was_answered(suspect.key, now):
-            least = LEAST_ENDS_IF_ANSWERED
-        beside = len(held.ends) - held.generation
-        return max(least, needed - max(0, beside) // BESIDE_FOR_ONE)
+            minimum = MIN_CRASHES_IF_ANSWERED
+        concurrent = len(evidence.ends) - evidence.generation
+        return max(
+            minimum, needed - max(0, concurrent) // CONCURRENT_PER_CONSECUTIVE
+        )
 
-    def _changed(self, suspect: Suspect, before: int, now: float) -> None:
-        """Draws the conclusions from news of a suspect.
+    def _update_times(self, suspect: Suspect, before: int, now: float) -> None:
+        """Updates a suspect's times after a change of its evidence.
 
         Args:
             suspect: The suspect.
-            before: Its generation before the news.
+            before: Its generation before the change.
             now: The current time.
         """
-        held = suspect.held
+        evidence = suspect.held
         suspect.changed_at = now
-        if held.generation != before:
+        if evidence.generation != before:
             suspect.trial_until = 0.0
 
     def _was_answered(
@@ -362,47 +409,49 @@
         answered_at = self._answered.get(key)
         return answered_at is not None and now - answered_at <= ANSWERED_S
 
-    def _hazard(self, service: str) -> endpoint_hazard.EndpointHazard:
-        hazard = self._hazards.get(service)
-        if hazard is None:
-            hazard = self._hazards[service] = endpoint_hazard.EndpointHazard()
-        return hazard
+    def _crash_rate(self, service: str) -> endpoint_hazard.EndpointHazard:
+        crash_rate = self._crash_rates.get(service)
+        if crash_rate is None:
+            crash_rate = self._crash_rates[service] = (
+                endpoint_hazard.EndpointHazard()
+            )
+        return crash_rate
 
     def _add(
         self,
         key: request_content.ContentKey,
-        held: suspicion.Suspicion,
+        evidence: suspicion.Suspicion,
         now: float,
     ) -> Suspect:
-        if self._of_caller[key.caller] >= MAX_OF_CALLER:
-            self._drop_least(key.caller)
+        if self._counts_by_caller[key.caller] >= MAX_SUSPECTS_PER_CALLER:
+            self._evict_least(key.caller)
         elif len(self._suspects) >= MAX_SUSPECTS:
-            [(caller, _)] = self._of_caller.most_common(1)
-            self._drop_least(caller)
-        suspect = Suspect(key, held, now)
+            [(caller, _)] = self._counts_by_caller.most_common(1)
+            self._evict_least(caller)
+        suspect = Suspect(key, evidence, now)
         self._suspects[key] = suspect
-        self._of_caller[key.caller] += 1
+        self._counts_by_caller[key.caller] += 1
         return suspect
 
-    def _drop_least(self, caller: bytes) -> None:
+    def _evict_least(self, caller: bytes) -> None:
         own = [s for s in self._suspects.values() if s.key.caller == caller]
         self._remove(min(own, key=weight))
 
     def _remove(self, suspect: Suspect) -> None:
         del self._suspects[suspect.key]
         caller = suspect.key.caller
-        self._of_caller[caller] -= 1
-        if not self._of_caller[caller]:
-            del self._of_caller[caller]
+        self._counts_by_caller[caller] -= 1
+        if not self._counts_by_caller[caller]:
+            del self._counts_by_caller[caller]
 
 
-def release_pause_s(held: suspicion.Suspicion) -> float:
-    """Returns the seconds until a quarantined request is tried once more."""
-    pause_s = FIRST_RELEASE_S * RELEASE_FACTOR**held.releases
-    return min(pause_s, LONGEST_RELEASE_S)
+def release_delay_s(evidence: suspicion.Suspicion) -> float:
+    """Returns the delay in seconds until a quarantined request's next trial."""
+    delay_s = FIRST_RELEASE_S * RELEASE_FACTOR**evidence.releases
+    return min(delay_s, MAX_RELEASE_S)
 
 
 def weight(suspect: Suspect) -> tuple[bool, int, float]:
-    """Returns by what suspects are ordered, the least suspected one first."""
-    held = suspect.held
-    return held.quarantined, held.generation, suspect.changed_at
+    """Returns a sort key that orders the least suspected request first."""
+    evidence = suspect.held
+    return evidence.quarantined, evidence.generation, suspect.changed_at
