--- a/martenjunction/routing/box_dump.py
+++ b/martenjunction/routing/box_dump.py
@@ -1,4 +1,4 @@
-"""The state of a box's parts, as an operator is shown it."""
+"""Collects the state of a box's components for the operators' dump."""
 
 from typing import Any
 
@@ -23,18 +23,18 @@
     log: decision_log.DecisionLog,
     now: float,
 ) -> dict[str, Any]:
-    """Returns the state of the parts; keys are left out.
+    """Returns the state of the components, without API keys.
 
     Args:
-        known: What was read from the store.
-        freshness: How old the configuration is.
+        known: The local copy of the store's state.
+        freshness: The age of the configuration.
         client: The store's client.
-        book: What is known of endpoints.
-        connections: Connections to them.
+        book: The endpoints and their records.
+        connections: Connections to the endpoints.
         peers: Connections to the other boxes.
-        members: Which boxes there are.
+        members: The boxes of the fleet.
         log: The log.
-        now: The current time.
+        now: The current time on the steady clock in seconds.
     """
     return {
         "config": {"version": known.version, "age_s": freshness.age_s(now)},
--- a/martenjunction/routing/config_documents.py
+++ b/martenjunction/routing/config_documents.py
@@ -1,4 +1,4 @@
-"""The documents of the last configurations, and how they differ."""
+"""Keeps recent configuration documents and encodes deltas between them."""
 
 import collections
 
@@ -8,16 +8,19 @@
 from martenjunction.peers import document_delta
 from martenjunction.routing import peer_messages
 
-# Documents that are kept to tell differences from: a box that lacks more
-# changes gets the whole one. One takes 15 kB with 48 routes.
+# Number of documents kept as bases of deltas. A box that lacks more changes
+# gets the full document. A document with 48 routes takes 15 kB.
 KEPT = 4
 
-# The base of a whole document.
+# Base version that marks a full document.
 NO_BASE = 0
 
 
 class ConfigDocuments:
-    """What one box has had in force, for boxes that have it still."""
+    """The latest configuration documents that were in force at this box.
+
+    They are the bases of deltas for boxes with an earlier configuration.
+    """
 
     def __init__(self) -> None:
         self._specs: collections.OrderedDict[int, bytes] = (
@@ -26,21 +29,21 @@
         self._news: dict[int, peer_messages.ConfigNews] = {}
 
     def keep(self, version: int, spec: bytes) -> None:
-        """Keeps a document that is in force now."""
+        """Adds the document that is now in force."""
         self._specs[version] = spec
         self._news.clear()
         while len(self._specs) > KEPT:
             self._specs.popitem(last=False)
 
     def news_for(self, version: int) -> peer_messages.ConfigNews | None:
-        """Returns what a box with a version has to be told.
+        """Returns the update for a box that has a given version.
 
         Args:
-            version: The version that it has in force; 0 for none.
+            version: The version in force there; 0 for none.
 
         Returns:
-            The newest document, as what differs from that version where it is
-            known; None if that version is as new.
+            The newest document, as a delta if that version's document is
+            known; None if that version is up to date.
         """
         newest = next(reversed(self._specs), NO_BASE)
         if newest <= version:
@@ -57,22 +60,28 @@
         return self._news[base]
 
     def news_of_last(self) -> peer_messages.ConfigNews | None:
-        """Returns what a box has to be told that lacks the last change only."""
+        """Returns the update for a box that lacks only the last change."""
         versions = list(self._specs)
         return self.news_for(versions[-2] if len(versions) > 1 else NO_BASE)
 
     def document_in(self, news: peer_messages.ConfigNews) -> bytes | None:
-        """Returns the document that news lead to; None if the base is unknown.
+        """Applies an update to its base document.
+
+        Returns:
+            The resulting document; None if the base is unknown.
 
         Raises:
-            PeerError: If they cannot be read or lead elsewhere.
+            PeerError: If the update cannot be decoded or the digest of the
+                result does not match.
         """
         if news.base != NO_BASE and news.base not in self._specs:
             return None
         base = self._specs.get(news.base, b"")
         spec = document_delta.apply(base, news.difference)
         if _digest(spec) != news.digest:
-            raise errors.PeerError("a configuration with another digest")
+            raise errors.PeerError(
+                "digest mismatch after applying a configuration delta"
+            )
         return spec
 
 
--- a/martenjunction/routing/follower.py
+++ b/martenjunction/routing/follower.py
@@ -1,4 +1,4 @@
-"""Follows the store: configuration, endpoints and boxes."""
+"""Reads configuration, endpoints and boxes from the store."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -15,38 +15,38 @@
 from martenjunction.routing import decision_log
 from martenjunction.routing import picture
 
-# Seconds for which a watch waits. The store cuts watches that it let go deaf,
-# and a lost connection is found by the calls beside it.
+# Timeout in seconds of a watch call. The store closes watches that it no longer
+# feeds, and a lost connection is detected by the other calls.
 WATCH_WAIT_S = 8.0
 
-# Seconds between two lists of the boxes' own entries: of a box that reads for
-# others, and of one that is connected to all it needs already.
+# Intervals in seconds at which the boxes' entries are listed: by a box that
+# reads for others, and by one that already has all its connections.
 BOXES_INTERVAL_S = 8.0
 BOXES_INTERVAL_BESIDE_S = 30.0
 
-# Seconds by which such a list may be old; one without this box's own entry says
-# nothing before.
+# Maximum staleness in seconds of such a list. Until that time has passed since
+# this box wrote its own entry, a list without the entry proves nothing.
 OLDEST_LIST_S = 10.0
 
-# Seconds between the first two lists of a box that was just started.
+# Interval in seconds between the first two lists after a start.
 FIRST_BOXES_INTERVAL_S = 3.0
 
 # Upper bound in seconds of the random delay before a box checks its own entry
 # after the store was restored; spreads the calls of a large fleet.
 OWN_ENTRY_JITTER_S = 1.0
 
-# Seconds for which a box must be silent before its entry is removed.
+# Seconds of silence after which a box's entry is removed.
 DEAD_AFTER_S = 12.0
 
-# Seconds before a failed call is made again: the first pause, and the longest
-# of the first box of a group and of one that reads in its place.
+# Back-off in seconds after a failed call: the initial value, the maximum for
+# the first box of a group, and the maximum for a box that reads in its place.
 FIRST_PAUSE_S = 0.1
 LONGEST_PAUSE_S = 0.3
 LONGEST_PAUSE_BESIDE_S = 1.5
 
 
 class StoreFollower:
-    """The tasks that read from the store, and the box's own entry there."""
+    """Reads from the store and maintains the box's own entry there."""
 
     def __init__(
         self,
@@ -58,16 +58,16 @@
         rng: random.Random,
         link_bytes_s: float,
     ) -> None:
-        """Makes a follower; `start` begins.
+        """Initializes the follower; `start` starts its tasks.
 
         Args:
             client: The store's client.
-            known: Takes in what is read.
-            members: Told of the boxes that are listed.
-            own: What this box records of itself.
-            log: Told of failed calls.
-            rng: Jitter.
-            link_bytes_s: Bytes a second that this box's link carries.
+            known: Receives the configuration and the endpoints.
+            members: Receives the listed boxes.
+            own: This box's entry.
+            log: Records failed calls and changes of the reader role.
+            rng: Random source for jitter.
+            link_bytes_s: Bandwidth of this box's link in bytes per second.
         """
         self._link_bytes_s = link_bytes_s
         self._document_bytes = 0
@@ -95,7 +95,7 @@
 
     @property
     def answered(self) -> bool:
-        """Whether this box reads and the store answered its last question."""
+        """Whether this box reads and the store answered its last call."""
         return self._answered
 
     def update_era(self, era: int) -> None:
@@ -103,18 +103,18 @@
         self._client.update_era(era)
 
     def start(self) -> None:
-        """Begins to follow the boxes' entries, and to read."""
+        """Starts following the boxes' entries and reading."""
         loop = asyncio.get_running_loop()
         self._following = loop.create_task(self._repeat(self._follow_boxes))
         self.read(True, True)
 
     def read(self, wanted: bool, first: bool) -> None:
-        """Begins or ends to read the configuration and the endpoints.
+        """Starts or stops reading the configuration and the endpoints.
 
         Args:
             wanted: Whether this box is to read.
-            first: Whether it is the first of its group, which asks again
-                soonest after a failure.
+            first: Whether it is the first of its group, which has the shortest
+                back-off after a failure.
         """
         self._first = first
         if wanted is (self._reading is not None):
@@ -128,7 +128,7 @@
             self._reading = None
 
     async def stop(self) -> None:
-        """Ends the tasks."""
+        """Stops the tasks and closes the client."""
         tasks = [t for t in (self._following, self._reading) if t is not None]
         for task in tasks:
             task.cancel()
@@ -136,7 +136,7 @@
         self._client.close()
 
     async def remove_own_entry(self) -> None:
-        """Removes this box's entry; a failure is logged and left."""
+        """Removes this box's entry; a failure is logged but not retried."""
         self._leaving = True
         try:
             await self._client.delete(
@@ -146,7 +146,7 @@
             self._log.write("own-entry-kept", why=str(error))
 
     async def _repeat(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Calls a step for ever, with pauses after failures."""
+        """Repeats a step indefinitely, with back-off after failures."""
         pause = FIRST_PAUSE_S
         while True:
             try:
@@ -157,17 +157,17 @@
                 pause = await self._pause(pause)
 
     async def _pause(self, pause: float) -> float:
-        """Waits after a failed call; returns the next pause."""
+        """Backs off after a failed call; returns the next back-off."""
         await asyncio.sleep(pause * (0.5 + self._rng.random()))
         longest = LONGEST_PAUSE_S if self._first else LONGEST_PAUSE_BESIDE_S
         return min(pause * 2.0, longest)
 
     async def _read(self) -> None:
-        """Confirms the configuration, and watches while that succeeds.
+        """Confirms the configuration periodically and watches for changes.
 
-        Watches end with the first confirmation that fails and are begun anew
-        by reading all: what a silent connection missed is found at once when
-        the store answers again.
+        The first failed confirmation ends the watches. They restart with a
+        full read when the store answers again, so that changes missed by a
+        dead connection are found at once.
         """
         pause = FIRST_PAUSE_S
         try:
@@ -186,7 +186,7 @@
                     pause = FIRST_PAUSE_S
                     await asyncio.sleep(self._confirm_interval_s())
                 else:
-                    # The watch tells of the first one.
+                    # The watch will report the first configuration.
                     pause = await self._pause(pause)
         finally:
             self._answered = False
@@ -218,17 +218,17 @@
             self._begin_watches()
 
     def _confirm_interval_s(self) -> float:
-        """Returns the seconds until the configuration is asked for again.
+        """Returns the seconds until the next confirmation.
 
-        The answer alone proves that no key was taken away: a watch may be deaf
-        for a while.
+        Only a confirmation proves that no key was revoked, as a watch may fail
+        to deliver changes for a while.
         """
         return store_readers.confirm_interval_s(
             self._document_bytes, self._link_bytes_s
         )
 
     async def _confirm_config(self) -> bool:
-        """Asks for the configuration; returns whether there is one."""
+        """Reads the configuration; returns whether there is one."""
         asked_at = time.monotonic()
         found = await self._client.get(
             documents.CONFIG_KIND, documents.CONFIG_NAME
@@ -252,7 +252,7 @@
             self._take_watched(change.object)
 
     def _take_watched(self, found: store.StoredObject) -> None:
-        """Takes in a configuration that may have been overtaken already."""
+        """Applies a configuration unless a newer one is in force."""
         if found.name == documents.CONFIG_NAME:
             self._known.take_newer_config(found.spec, "watch")
 
@@ -275,10 +275,10 @@
         after: revisions.Revision,
         take: Callable[[store.Change], None],
     ) -> None:
-        """Takes in the changes of a kind until the store forgets some.
+        """Applies changes of a kind until the store has lost its history.
 
-        An answer without changes moves us no further: a watch that was deaf
-        would otherwise hide what it missed.
+        An answer without changes does not advance the revision, as changes
+        that a failing watch did not deliver would otherwise be skipped.
         """
         while True:
             try:
@@ -291,7 +291,8 @@
 
     async def _follow_boxes(self) -> None:
         await self._ensure_own_entry()
-        # Peers tell what is newer, and entries are removed under a condition.
+        # Stale data is acceptable: peers report newer members, and entries are
+        # removed conditionally on their revision.
         listing = await self._client.list(documents.BOX_KIND, may_be_old=True)
         present: dict[str, revisions.Revision] = {}
         for found in listing.objects:
@@ -310,7 +311,7 @@
             self._recorded = False
         wait = BOXES_INTERVAL_BESIDE_S
         if not self._met:
-            # All boxes start at once: who else did is not listed yet.
+            # If all boxes start at once, the others are not listed yet.
             self._met = True
             wait = FIRST_BOXES_INTERVAL_S
         elif self._reading is not None:
@@ -353,7 +354,7 @@
     def _decode_box(
         self, found: store.StoredObject
     ) -> documents.BoxEntry | None:
-        """Returns a box's entry; None for one that another writer made."""
+        """Returns a box's entry; None if it cannot be decoded."""
         try:
             return documents.decode_box(found.name, found.spec)
         except errors.PlatformError as error:
@@ -369,7 +370,7 @@
         try:
             await self._client.create(documents.BOX_KIND, self._own.box, spec)
         except errors.VersionConflictError:
-            # The entry of an earlier life of this box.
+            # Overwrites the entry of an earlier start of this box.
             await self._client.replace(
                 documents.BOX_KIND, self._own.box, spec, revision=None
             )
@@ -378,7 +379,7 @@
         self._own_entry_era = self._client.era
 
     async def _remove_dead(self) -> None:
-        """Removes entries of boxes that nobody has heard for long."""
+        """Removes the entries of boxes that have been silent for too long."""
         for box in self._members.silent_for(DEAD_AFTER_S):
             revision = self._listed.get(box)
             if revision is None:
--- a/martenjunction/routing/holders.py
+++ b/martenjunction/routing/holders.py
@@ -10,10 +10,10 @@
 class HolderSelector:
     """Selects the holder of a key from the boxes that this box hears.
 
-    Boxes that hear the same set of boxes select the same holder. In a large
-    fleet a box hears only a few boxes of other availability zones. The box it
-    selects there may not be the holder, but hears more of that zone and can
-    forward the request.
+    A box hears another one if it receives its status. Boxes that hear the same
+    set of boxes select the same holder. In a large fleet a box hears only a few
+    boxes of other availability zones. The box it selects there may not be the
+    holder, but hears more of that zone and can forward the request.
     """
 
     def __init__(
--- a/martenjunction/routing/leaving_sync.py
+++ b/martenjunction/routing/leaving_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other boxes which endpoints said that they leave."""
+"""Synchronizes announcements of leaving endpoints between boxes."""
 
 from martenjunction import events
 from martenjunction.decisions.boxes import endpoint_list
@@ -7,16 +7,17 @@
 from martenjunction.routing import decision_log
 from martenjunction.routing import peer_messages
 
-# Endpoints that a box tells of on a new connection, those that it heard of
-# last first; more would fill thin links.
+# Maximum number of endpoints sent on a new connection, the latest ones; more
+# would saturate links of low bandwidth.
 TOLD_TO_NEW = 256
 
 
 class LeavingSync:
-    """One box's exchange with the others about endpoints that leave.
+    """Exchanges announcements of leaving endpoints with the other boxes.
 
-    An endpoint leaves for all boxes: the first word saves the others a request
-    there each. What is told only grows, so it may come twice and in any order.
+    An endpoint leaves for all boxes. Sharing its first announcement saves each
+    other box a request to it. The set only grows, so messages may be repeated
+    and arrive in any order.
     """
 
     def __init__(
@@ -26,13 +27,13 @@
         members: membership.Membership,
         log: decision_log.DecisionLog,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            listed: Which endpoints there are; told of those that leave.
+            listed: The endpoints; updated with those that leave.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            log: Told of each endpoint that leaves.
+            members: The boxes of the fleet.
+            log: Records each endpoint that leaves.
         """
         self._listed = listed
         self._peers = peers
@@ -40,7 +41,7 @@
         self._log = log
 
     def start(self, emitter: events.Events) -> None:
-        """Listens to the other boxes.
+        """Subscribes to peer messages and new connections.
 
         Args:
             emitter: Announces new connections to boxes.
@@ -49,12 +50,12 @@
         emitter.connect(events.PEER_CONNECTED, self._greet)
 
     def say_leaving(self, endpoint_id: str) -> None:
-        """Takes in an endpoint's own word, and tells all boxes."""
+        """Records an endpoint's own announcement and notifies all boxes."""
         if self._take(endpoint_id, "endpoint"):
             self._broadcast([endpoint_id])
 
     def _take(self, endpoint_id: str, told_by: str) -> bool:
-        """Takes a word in; returns whether it is news."""
+        """Records that an endpoint leaves; returns whether it is new."""
         if not self._listed.say_leaving(endpoint_id):
             return False
         self._log.write(
@@ -66,7 +67,7 @@
         self._peers.broadcast(peer_messages.EndpointsLeaving(tuple(ids)))
 
     def _greet(self, box: str) -> None:
-        """Tells a box that was not connected which endpoints leave."""
+        """Sends the leaving endpoints to a newly connected box."""
         ids = self._listed.leaving[-TOLD_TO_NEW:]
         if ids:
             self._peers.send(box, peer_messages.EndpointsLeaving(tuple(ids)))
@@ -75,5 +76,5 @@
         fresh = [i for i in news.ids if self._take(i, box)]
         linked = len(self._peers.boxes()) + 1
         if fresh and linked < len(self._members.believed()):
-            # To boxes that the one that told it may not hear.
+            # Forwards to boxes that the sender may not be connected to.
             self._broadcast(fresh)
--- a/martenjunction/routing/limit_sync.py
+++ b/martenjunction/routing/limit_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other boxes how many requests a second endpoints take."""
+"""Synchronizes the rate limits of endpoints between boxes."""
 
 from collections.abc import Iterable
 
@@ -11,24 +11,26 @@
 from martenjunction.routing import endpoint_book
 from martenjunction.routing import peer_messages
 
-# Least time, in seconds, between two messages of a box on the limit of one
-# endpoint: one that names another number in each answer would fill thin links.
+# Minimum interval in seconds between two messages of a box about one endpoint.
+# An endpoint that changes its limit in each answer would otherwise saturate
+# links of low bandwidth.
 TELL_INTERVAL_S = 0.2
 
-# Seconds between two looks at what was not told yet and at what is of no use.
+# Interval in seconds at which pending changes are sent and limits of unlisted
+# endpoints are removed.
 LOOK_INTERVAL_S = 0.1
 
-# Endpoints that a box tells of on a new connection, the last changed first.
+# Maximum number of limits sent on a new connection, the latest changes first.
 TOLD_TO_NEW = 256
 
 MS = 0.001
 
 
 class LimitSync:
-    """One box's exchange with the others about endpoints' limits.
+    """Exchanges the rate limits of endpoints with the other boxes.
 
-    A limit holds for all boxes together: one that is not told of it goes on
-    sending until an answer of its own tells it.
+    A limit applies to all boxes together. A box that does not know it would go
+    on sending until it receives an answer with the limit itself.
     """
 
     def __init__(
@@ -39,14 +41,14 @@
         clock: timers.Timers,
         log: decision_log.DecisionLog,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            book: Told of the limits.
+            book: Holds the endpoints and their limits.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            clock: Tells the time.
-            log: Told of each limit that begins, changes or ends.
+            members: The boxes of the fleet.
+            clock: The clock and timers.
+            log: Records each limit that begins, changes or ends.
         """
         self._book = book
         self._limits = book.limits
@@ -58,7 +60,7 @@
         self._untold: set[str] = set()
 
     def start(self, emitter: events.Events) -> None:
-        """Listens to the other boxes.
+        """Subscribes to peer messages, new connections and timers.
 
         Args:
             emitter: Announces new connections to boxes.
@@ -70,12 +72,12 @@
     def say(
         self, endpoint_id: str, per_s: float | None, asked_at: float
     ) -> None:
-        """Takes in what an endpoint's answer says, and tells all boxes.
+        """Records the limit in an endpoint's answer and notifies all boxes.
 
         Args:
             endpoint_id: The endpoint.
-            per_s: The limit that it names; None for none.
-            asked_at: When the request was sent, steady clock.
+            per_s: The limit in requests per second; None for no limit.
+            asked_at: Time on the steady clock when the request was sent.
         """
         now = self._timers.now()
         change = self._limits.say(endpoint_id, per_s, asked_at, now)
@@ -85,7 +87,7 @@
             self._tell_due()
 
     def word(self, endpoint_id: str) -> peer_messages.LimitWord:
-        """Returns what this box knows of an endpoint, to be told to others."""
+        """Returns this box's knowledge of an endpoint's limit for peers."""
         word = self._limits.words.get(endpoint_id)
         if word is None:
             return peer_messages.LimitWord(endpoint_id, None, None)
@@ -95,7 +97,7 @@
         )
 
     def take(self, box: str, word: peer_messages.LimitWord) -> bool:
-        """Takes in what another box knows; returns whether it is news."""
+        """Merges a limit known by another box; returns whether it changed."""
         if word.age_ms is None:
             return False
         since = self._timers.now() - word.age_ms * MS
@@ -133,7 +135,7 @@
             del self._told_at[endpoint_id]
 
     def _tell_due(self) -> None:
-        """Tells all boxes of changes, each endpoint's not too often."""
+        """Broadcasts pending changes, rate-limited per endpoint."""
         now = self._timers.now()
         due = [
             endpoint_id
@@ -153,7 +155,7 @@
             )
 
     def _greet(self, box: str) -> None:
-        """Tells a box that was not connected what endpoints said."""
+        """Sends the latest limits to a newly connected box."""
         newest = sorted(
             self._limits.words.items(), key=lambda item: -item[1].since
         )
@@ -165,6 +167,6 @@
         fresh = [w.endpoint for w in news.words() if self.take(box, w)]
         linked = len(self._peers.boxes()) + 1
         if news.first_hand and linked < len(self._members.believed()):
-            # To boxes that the one that told it may not hear; passed on only
-            # once, as each hop makes the word look newer than it is.
+            # Forwards to boxes that the sender may not be connected to. Limits
+            # are forwarded only once, as each hop understates their age.
             self._broadcast(fresh, False)
--- a/martenjunction/routing/peer_messages.py
+++ b/martenjunction/routing/peer_messages.py
@@ -1,4 +1,4 @@
-"""What boxes tell one another about routing."""
+"""Messages about routing that boxes exchange."""
 
 import dataclasses
 
@@ -9,35 +9,36 @@
 @codec.message("box-status", replaces=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class BoxStatus:
-    """How a box is; without loads, its heartbeat.
+    """The status of a box; without loads, its heartbeat.
 
     Attributes:
-        ready: Whether clients may be sent to it.
-        version: Version of the configuration in force there; 0 for none.
+        ready: Whether the box accepts clients.
+        version: Version of the configuration in force; 0 for none.
         revision: The store's revision up to which it knows the endpoints.
-        reads: Whether it reads from the store and is answered.
+        reads: Whether it reads from the store and gets answers.
         age_ms: Milliseconds since its configuration was confirmed as the
-            newest; -1 if it never was. A hint only: the message may have been
-            under way for long.
-        link_kb: Kilobytes a second that its link carries.
-        tells_loads: Whether the fields below are told.
-        endpoints: Ids of the endpoints where it has requests; an endpoint
-            stands there once for each kind of request.
+            newest; -1 if it never was. A hint only, as the message may have
+            been delayed.
+        link_kb: Bandwidth of its link in kilobytes per second.
+        tells_loads: Whether the fields from `endpoints` to `sent` are set.
+        endpoints: Ids of the endpoints where it has requests in flight; an
+            endpoint appears once for each kind of request.
         urgencies: The urgency of those requests.
         long: Whether their prompts are long.
-        running: How many there are.
-        unread: Prompt tokens that are yet to be read for them.
+        running: Number of those requests.
+        unread: Prompt tokens of those requests that are not prefilled yet.
         engines: Ids of the engines that it has sent prompts to.
-        sent: Prompt tokens that each of them had to read for it since it
-            started.
+        sent: Prompt tokens that each of those engines had to prefill for the
+            box since the box started.
         learnt_of: Engine services that the box has seen requests for.
-        prefill_rates: Prompt tokens that their engines read in a second; 0
-            where too few were seen.
-        reading_token_us: Microseconds that a token of their streams takes
-            while prompts are read beside it; 0 where too few were seen.
-        short_asked: Prompt tokens a second that its requests with short
-            prompts ask to be read.
-        long_asked: The same of requests with long prompts.
+        prefill_rates: Prefill throughput of their engines in tokens per
+            second; 0 if there are too few samples.
+        reading_token_us: Time per streamed token in microseconds while prompts
+            are prefilled concurrently; 0 if there are too few samples.
+        short_asked: Prefill demand of its requests with short prompts, in
+            tokens per second.
+        long_asked: Prefill demand of its requests with long prompts, in tokens
+            per second.
     """
 
     ready: bool
@@ -61,10 +62,10 @@
     long_asked: tuple[int, ...]
 
     def after(self, older: "BoxStatus") -> "BoxStatus":
-        """Returns this status in place of itself and one that was not sent.
+        """Returns this status merged with an earlier one that was not sent.
 
         Args:
-            older: The earlier status; what it alone tells is kept.
+            older: The earlier status; fields that only it sets are kept.
         """
         if not older.tells_loads:
             return self
@@ -90,13 +91,13 @@
 @codec.message("ask-view", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskView:
-    """A box wants to know what another one read from the store.
+    """Requests the store's state as known by another box.
 
     Attributes:
-        question: Names the question in its answer.
-        version: The configuration that the asking box has.
-        revision: The revision of the endpoints that it has.
-        digest: A digest of the ids of those that may get work.
+        question: Correlates the answer with this message.
+        version: Version of the sender's configuration; 0 for none.
+        revision: Revision of the sender's endpoints.
+        digest: A digest of the ids of the endpoints available to it.
     """
 
     question: int
@@ -108,19 +109,19 @@
 @codec.message("view", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """What a box read from the store.
+    """The store's state as known by the sender.
 
     Attributes:
-        question: The question.
+        question: The number of the `AskView` message.
         age_ms: Milliseconds since its configuration was confirmed as the
             newest; -1 if it never was.
         version: The version of that configuration.
         revision: The store's revision up to which it knows the endpoints.
-        tells_endpoints: Whether the fields below are told; they are not if
-            the asking box knows as much.
-        ready: Ids of all endpoints that may get work.
+        tells_endpoints: Whether the fields below are set; they are not if the
+            receiver is up to date.
+        ready: Ids of all available endpoints.
         changed: Ids of the endpoints whose entries changed after the
-            revision that the asking box has.
+            receiver's revision.
         eras: The era of each changed entry's revision.
         numbers: The number of each changed entry's revision.
         entries: Each changed entry.
@@ -155,9 +156,9 @@
 
     Attributes:
         version: Its version.
-        base: The version that it is told as a difference from; 0 if whole.
-        digest: A digest of its document.
-        difference: What differs; see `peers.document_delta`.
+        base: The version that the delta applies to; 0 for a full document.
+        digest: A digest of the resulting document.
+        difference: The delta; see `peers.document_delta`.
     """
 
     version: int
@@ -169,11 +170,11 @@
 @codec.message("endpoints-left", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsLeft:
-    """Endpoints that may get no more work, by the store's word.
+    """Endpoints that are no longer available according to the store.
 
     Attributes:
         ids: Their ids.
-        revision: The store's revision of that.
+        revision: The store's revision of the change.
     """
 
     ids: tuple[str, ...]
@@ -183,10 +184,10 @@
 @codec.message("endpoints-leaving", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsLeaving:
-    """Endpoints that get no more work, by their own word.
+    """Endpoints that announced in an answer that they are leaving.
 
     Attributes:
-        ids: Their ids, each of one start.
+        ids: Their ids; each identifies one start of an endpoint.
     """
 
     ids: tuple[str, ...]
@@ -194,14 +195,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitWord:
-    """What a box knows of the limit of an endpoint.
+    """The rate limit of an endpoint as known by a box.
 
     Attributes:
-        endpoint: The endpoint's id, of one start.
-        per_s: Requests a second that it takes from all boxes; None for no
-            limit.
-        age_ms: Milliseconds since the box that heard it first did so; None if
-            nothing was heard.
+        endpoint: The endpoint's id, which identifies one start of it.
+        per_s: Requests per second from all boxes together; None for no limit.
+        age_ms: Milliseconds since a box first received it from the endpoint;
+            None if the box knows of no announcement.
     """
 
     endpoint: str
@@ -212,15 +212,15 @@
 @codec.message("endpoint-limits", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointLimits:
-    """Endpoints that take only so many requests a second.
+    """Rate limits of endpoints.
 
-    The first three have an item for each endpoint; see `LimitWord`.
+    The first three fields have an item for each endpoint; see `LimitWord`.
 
     Attributes:
-        endpoints: Their ids.
-        per_s: Requests a second that each takes.
-        ages_ms: Milliseconds since that was first heard.
-        first_hand: Whether the sender heard it from the endpoints.
+        endpoints: Ids of the endpoints.
+        per_s: The limits, in requests per second.
+        ages_ms: Milliseconds since each limit was first received.
+        first_hand: Whether the sender got them from the endpoints themselves.
     """
 
     endpoints: tuple[str, ...]
@@ -230,7 +230,7 @@
 
     @classmethod
     def of(cls, words: list[LimitWord], first_hand: bool) -> "EndpointLimits":
-        """Returns the message that tells some words."""
+        """Returns a message with the given limits."""
         return cls(
             tuple(word.endpoint for word in words),
             tuple(word.per_s for word in words),
@@ -239,7 +239,7 @@
         )
 
     def words(self) -> list[LimitWord]:
-        """Returns what it tells of each endpoint."""
+        """Returns the limit of each endpoint."""
         rows = zip(self.endpoints, self.per_s, self.ages_ms, strict=False)
         return [LimitWord(*row) for row in rows]
 
@@ -247,12 +247,12 @@
 @codec.message("ask-rate-grant", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskGrant:
-    """A box wants to send a request to an endpoint that names a limit.
+    """Requests a grant to send a request to a rate-limited endpoint.
 
     Attributes:
-        number: Names the question in its answer.
-        word: The endpoint, and what is known of its limit.
-        hops: Boxes that passed the question on.
+        number: Correlates the answer with this message.
+        word: The endpoint and its limit as known by the sender.
+        hops: Number of boxes that forwarded this message.
     """
 
     number: int
@@ -263,12 +263,12 @@
 @codec.message("rate-grant-answer", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantAnswer:
-    """A grant to send one request, or the time to ask again.
+    """Grants or denies sending one request to a rate-limited endpoint.
 
     Attributes:
-        number: The question.
-        word: The endpoint, and what is known of its limit.
-        wait_ms: Milliseconds after which to ask again; 0 if it is granted.
+        number: The number of the `AskGrant` message.
+        word: The endpoint and its limit as known by the sender.
+        wait_ms: Milliseconds after which to retry; 0 if it is granted.
     """
 
     number: int
@@ -279,11 +279,11 @@
 @codec.message("rate-grant-unused", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantUnused:
-    """A request that was granted was not sent.
+    """Returns an unused grant, as its request was not sent.
 
     Attributes:
-        endpoint: The endpoint.
-        hops: Boxes that passed this on.
+        endpoint: The endpoint's id.
+        hops: Number of boxes that forwarded this message.
     """
 
     endpoint: str
@@ -293,21 +293,21 @@
 @codec.message("suspects", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspects:
-    """What a box holds against requests under which endpoints ended.
+    """Records of suspected requests, during which endpoints ended.
 
     See `decisions.boxes.suspicion`; the fields have an item for each request.
 
     Attributes:
         callers: Digests of the callers.
-        contents: Digests of what they ask for.
+        contents: Digests of the request contents.
         services: The services.
-        epochs: Times that each was cleared.
-        ends: Ids of the endpoints that ended under it since.
+        epochs: Number of times each request was cleared.
+        ends: Ids of the endpoints that ended during it since then.
         generations: The generation of each of those runs.
-        builds: What ran at those endpoints.
-        tries: Runs that began on their own.
-        quarantined: Whether it is not sent any more.
-        releases: How often time has let it be tried since.
+        builds: Builds of those endpoints.
+        tries: Number of trials.
+        quarantined: Whether the request is quarantined.
+        releases: Number of times a quarantine expired since.
         outlived: Whether a trial was reported as still running.
     """
 
--- a/martenjunction/routing/peer_sync.py
+++ b/martenjunction/routing/peer_sync.py
@@ -1,4 +1,4 @@
-"""What boxes tell one another, and what a box makes of it."""
+"""Exchanges status, configuration and endpoint state with the other boxes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -19,35 +19,35 @@
 from martenjunction.routing import peer_messages
 from martenjunction.routing import picture
 
-# Seconds between two questions of a box that does not read from the store, to
-# the one that knows best.
+# Interval in seconds at which a box that does not read from the store queries
+# the most up-to-date peer.
 ASK_INTERVAL_S = 0.3
 
 # Seconds without a confirmed configuration after which peers of other groups
-# are asked as well.
+# are queried as well.
 ASK_FAR_AFTER_S = 2.0
 
-# Seconds between two looks at whether this box is to read, and whether others
-# have to be told what it read.
+# Interval in seconds at which this box decides whether to read from the store
+# and whether to notify its peers of what it read.
 ROLE_INTERVAL_S = 0.1
 
-# Seconds for which a box's word that it is ready counts.
+# Seconds for which a received status is valid.
 STATUS_LIFETIME_S = 1.2
 
-# Seconds without a word after which a connection is given up. A box counts as
-# silent long before; a new connection costs both sides two handshakes, which a
-# box that is short of time can afford least.
+# Seconds without a message after which a connection is closed. A box is
+# considered silent long before; a new connection costs both sides two
+# handshakes, which an overloaded box can afford least.
 LINK_SILENCE_S = 3.0
 
-# Seconds between two messages on the load at endpoints, while there is any.
+# Interval in seconds between load reports while this box has load at endpoints.
 LOADS_INTERVAL_S = 0.2
 
-# Such messages that a box sends in a second to all its peers together, and
-# their bytes; with many peers or endpoints they are sent less often.
+# Maximum rate of load reports to all peers together, in messages and in bytes
+# per second. With many peers or endpoints the interval becomes longer.
 LOADS_MESSAGES_PER_S = 72
 LOADS_BYTES_PER_S = 24_000
 
-# A box without a confirmed configuration says so by this age.
+# Age that a box reports if its configuration was never confirmed.
 NEVER_CONFIRMED = -1
 MS = 0.001
 KB = 1000
@@ -55,12 +55,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Told:
-    """What a box last said of itself.
+    """The last status received from a box.
 
     Attributes:
-        at: When, on the steady clock: for the age of what it said.
-        listened_at: When, on the clock of what was listened: for its silence.
-        status: What it said.
+        at: Time of receipt on the steady clock, to compute the status's age.
+        listened_at: Time of receipt on the clock that excludes stalls of this
+            box's event loop, to detect that the box is silent.
+        status: The status.
     """
 
     at: float
@@ -69,7 +70,7 @@
 
 
 class PeerSync:
-    """One box's exchange with the others."""
+    """Exchanges status, configuration and endpoints with the other boxes."""
 
     def __init__(
         self,
@@ -84,19 +85,19 @@
         reading: follower.StoreFollower,
         link_bytes_s: float,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to messages.
 
         Args:
             peers: Connections to the other boxes.
-            members: Who there is.
-            known: What this box read from the store.
-            freshness: How old its configuration is.
-            book: Told of the other boxes' load.
-            clock: Tells the time.
-            log: Told of what peers say that cannot be used.
-            is_ready: Returns whether clients may be sent to this box.
-            reading: Reads from the store where this box has to.
-            link_bytes_s: Bytes a second that this box's link carries.
+            members: The boxes of the fleet.
+            known: The local copy of the store's state.
+            freshness: The age of the configuration.
+            book: Receives the other boxes' load.
+            clock: The clock and timers.
+            log: Records configuration changes and unusable messages.
+            is_ready: Returns whether this box accepts clients.
+            reading: Reads from the store when this box is a reader.
+            link_bytes_s: Bandwidth of this box's link in bytes per second.
         """
         self._peers = peers
         self._members = members
@@ -111,7 +112,7 @@
         self._role = store_readers.ReaderRole(members.own.box, self._link_kb)
         self._told_of = (False, 0, revisions.NONE)
         self._lacks_entries = False
-        # The version whose document here is unlike that of a peer.
+        # The version whose local document differs from that of a peer.
         self._unlike_version: int | None = None
         self._told_sent: set[tuple[str, int]] = set()
         self._statuses: dict[str, _Told] = {}
@@ -133,7 +134,7 @@
         self._timers.subscribe("loads", LOADS_INTERVAL_S, self._tell_loads)
 
     def heartbeat(self) -> peer_messages.BoxStatus:
-        """Returns how this box is, less what it has at endpoints."""
+        """Returns the status of this box without its load at endpoints."""
         return self._status(False, [], [])
 
     def _status(
@@ -166,16 +167,16 @@
         )
 
     def announce(self) -> None:
-        """Tells all peers at once how this box is."""
+        """Sends the status of this box to all peers immediately."""
         self._peers.broadcast(self.heartbeat())
 
     def announce_leaving(self) -> None:
-        """Tells all peers that this box is being stopped as planned."""
+        """Notifies all peers of the planned shutdown of this box."""
         own = self._members.own
         self._peers.broadcast(messages.Leaving(own.box, own.incarnation))
 
     def ready_boxes(self) -> list[membership.Member]:
-        """Returns the other boxes that clients may be sent to."""
+        """Returns the other boxes that accept clients."""
         return [
             member
             for member in self._members.believed()
@@ -183,7 +184,7 @@
         ]
 
     def heard(self) -> list[membership.Member]:
-        """Returns the other boxes that are believed and heard."""
+        """Returns the live boxes from which a recent status was received."""
         return [m for m in self._members.believed() if self._hears(m)]
 
     def _on_status(self, box: str, status: peer_messages.BoxStatus) -> None:
@@ -218,7 +219,7 @@
         self._book.take_peer_sent(box, list(sent), now)
 
     def _hear_of(self, version: int, box: str) -> bool:
-        """Notes a version in force at a peer; returns whether it is newer."""
+        """Records a peer's version; returns whether it is newer than ours."""
         if version <= self._known.version:
             return False
         if self._freshness.heard_of(version, self._timers.now()):
@@ -231,7 +232,7 @@
         return True
 
     def _on_config_news(self, box: str, news: peer_messages.ConfigNews) -> None:
-        """Takes a configuration in, whoever brings it and whenever."""
+        """Applies a configuration update, which any peer may send unasked."""
         if not self._hear_of(news.version, box):
             return
         try:
@@ -240,7 +241,7 @@
                 self._known.take_newer_config(spec, box)
                 return
         except (errors.PeerError, errors.PlatformError) as error:
-            # Asked by its version, the peer would tell the same difference.
+            # A request with the local version would return the same delta.
             self._unlike_version = self._known.version
             self._log.write("peer-config-unreadable", peer=box, why=str(error))
         self._ask(box)
@@ -258,9 +259,9 @@
         )
 
     def _tell_loads(self) -> None:
-        """Tells all peers what this box has at endpoints, while it has any.
+        """Sends this box's load at endpoints to all peers while it has any.
 
-        The last message of a busy time tells that nothing is left.
+        The last report after a period of load reports zero load.
         """
         now = self._timers.now()
         if now < self._loads_due or not (self._book.running or self._told):
@@ -277,7 +278,7 @@
         self._loads_due = now + wait_s
 
     def _look(self) -> None:
-        """Begins or ends to read from the store, and tells news at once."""
+        """Starts or stops reading the store and announces changes at once."""
         now = self._timers.now()
         self._freshness.nobody_has(above=self._newest_told())
         reads = self._role.decide(
@@ -297,10 +298,10 @@
         self._told_of = news
 
     def _tell_config(self) -> None:
-        """Hands a change to the peers that lack it, without a question.
+        """Pushes the last configuration change to the peers that lack it.
 
-        Those that lack more than this change ask. A change that a box of the
-        group brought was handed to the others by that one.
+        Peers that lack earlier changes as well request them. A change received
+        from a box of the same group is not pushed, as that box did so already.
         """
         news = self._known.documents.news_of_last()
         near = {member.box for member in self._members.near()}
@@ -312,7 +313,7 @@
                 self._peers.send(box, news)
 
     def _newest_told(self) -> int:
-        """Returns the newest version in force at a box that is heard."""
+        """Returns the newest version reported by a box with a valid status."""
         listened = self._timers.listened()
         return max(
             (
@@ -324,7 +325,7 @@
         )
 
     def _group(self, now: float) -> list[store_readers.PeerAge]:
-        """Returns the boxes among which one reads, less this one."""
+        """Returns the other boxes of the group that elects a reader."""
         return self._ages(self._members.near(), now)
 
     def _ages(
@@ -337,10 +338,10 @@
         ]
 
     def _unheard_scale(self) -> float:
-        """Returns by how much more all boxes have than those that are heard.
+        """Returns the factor by which to extrapolate the known peers' load.
 
-        In a large fleet a box hears few of the other availability zones; it
-        takes them to have as much at the endpoints as those that it hears.
+        In a large fleet a box is connected to only a few boxes of the other
+        availability zones. It assumes the same average load for the others.
         """
         heard = len(self._peers.boxes()) + 1
         return max(1.0, len(self._members.believed()) / heard)
@@ -363,7 +364,7 @@
         )
 
     def _ask_peers(self) -> None:
-        """Asks the peer that knows best and answers."""
+        """Queries the most up-to-date peer, preferring those that answer."""
         now = self._timers.now()
         age = self._freshness.age_s(now)
         if self._reading.answered:
@@ -382,7 +383,7 @@
         return NEVER_CONFIRMED if age is None else int(age / MS) + 1
 
     def _ask(self, box: str) -> None:
-        """Asks a peer, unless enough questions are under way."""
+        """Queries a peer, unless too many queries are in flight."""
         number = self._questions.ask(box, self._timers.now())
         if number is None:
             return
@@ -444,5 +445,5 @@
 
 
 def _ask_order(peer: store_readers.PeerAge) -> tuple[bool, float]:
-    """Returns what peers are ordered by when one is asked."""
+    """Returns the sort key by which a peer to query is selected."""
     return not peer.reads, peer.age_s or 0.0
--- a/martenjunction/routing/picture.py
+++ b/martenjunction/routing/picture.py
@@ -1,4 +1,4 @@
-"""What a box knows from the store: configuration, endpoints, their age."""
+"""A box's local copy of the store's configuration and endpoints."""
 
 from collections.abc import Callable
 
@@ -13,12 +13,12 @@
 from martenjunction.routing import config_documents
 from martenjunction.routing import decision_log
 
-# Entries that cannot be read which are remembered, so as to be logged once.
+# Maximum number of unreadable entries remembered, so that each is logged once.
 MAX_FOREIGN = 256
 
 
 class Picture:
-    """The one place where news from the store or from peers is taken in."""
+    """Applies updates of the store's state, from the store or from peers."""
 
     def __init__(
         self,
@@ -28,14 +28,14 @@
         log: decision_log.DecisionLog,
         now: Callable[[], float],
     ) -> None:
-        """Makes a picture that holds nothing.
+        """Initializes an empty copy.
 
         Args:
             admitter: Puts configurations in force.
             listed: The endpoints.
             freshness: The age of the configuration.
-            log: Told of each change of what is believed.
-            now: Returns seconds on the steady clock.
+            log: Records each change.
+            now: Returns the time of the steady clock in seconds.
         """
         self._admitter = admitter
         self._listed = listed
@@ -54,12 +54,12 @@
 
     @property
     def unreadable(self) -> int:
-        """Entries and configurations so far that could not be read."""
+        """Number of unreadable entries and configurations so far."""
         return self._unreadable
 
     @property
     def store_returns(self) -> int:
-        """Restores of the store from a copy, seen since this box started."""
+        """Number of restores of the store seen since this box started."""
         return self._store_returns
 
     @property
@@ -70,7 +70,7 @@
 
     @property
     def config_from(self) -> str:
-        """Who told the configuration in force: a box, or what was read."""
+        """Source of the configuration in force: a box or a kind of read."""
         return self._config_from
 
     @property
@@ -90,11 +90,11 @@
         return bool(self._store_answers)
 
     def on_left(self, callback: Callable[[list[str]], None]) -> None:
-        """Has a callback told of endpoints that may get no more work."""
+        """Sets the callback for endpoints that are no longer available."""
         self._on_left = callback
 
     def take_config(self, spec: bytes, asked_at: float, source: str) -> None:
-        """Takes a configuration in that was the newest at a moment.
+        """Applies a configuration that was the newest when it was requested.
 
         A configuration that cannot be decoded, or that is older than the one
         in force, does not count as a confirmation. A store restored from an
@@ -102,8 +102,8 @@
 
         Args:
             spec: Its document.
-            asked_at: Steady clock when it was asked for.
-            source: Who told it, for the log.
+            asked_at: Time of the request on the steady clock.
+            source: Source of the configuration, for the log.
         """
         try:
             version = self.take_newer_config(spec, source)
@@ -127,12 +127,12 @@
         revision: revisions.Revision,
         source: str,
     ) -> None:
-        """Takes in what another box knows of the endpoints.
+        """Applies the endpoints as known by another box.
 
         Args:
-            changed: Id, revision and document of each entry that changed.
-            ready: Ids of all endpoints that may get work.
-            revision: The store's revision up to which that box knows.
+            changed: Id, revision and document of each changed entry.
+            ready: Ids of all available endpoints.
+            revision: The store's revision up to which that box knows them.
             source: The box, for the log.
         """
         if revision < self._listed.revision:
@@ -157,13 +157,17 @@
         self._tell_left(left, revision, source)
 
     def take_newer_config(self, spec: bytes, source: str) -> int:
-        """Takes a configuration in that may have been overtaken already.
+        """Applies a configuration unless a newer one is in force.
+
+        Args:
+            spec: Its document.
+            source: Source of the configuration, for the log.
 
         Returns:
             The version of the given configuration.
 
         Raises:
-            PlatformError: If it cannot be read.
+            PlatformError: If the document cannot be decoded.
         """
         if spec == self._config_spec:
             return self.version
@@ -189,12 +193,12 @@
         revision: revisions.Revision,
         source: str,
     ) -> None:
-        """Takes a whole list of endpoints in.
+        """Applies a complete list of endpoints.
 
         Args:
             objects: Id, revision and document of each entry.
             revision: The store's revision when the list was read.
-            source: Who told it, for the log.
+            source: Source of the list, for the log.
         """
         if revision < self._listed.revision:
             return
@@ -212,10 +216,10 @@
         self._tell_left(left, revision, source)
 
     def take_endpoint_change(self, change: store.Change) -> None:
-        """Takes one change of an endpoint's entry in."""
+        """Applies a change of one endpoint's entry."""
         name, revision = change.object.name, change.object.revision
         if change.deleted:
-            # The entry of something that is gone need not be readable.
+            # A deletion applies even if the entry is unreadable.
             left = self._listed.take_end(name, revision, self._now())
             self._entries.pop(name, None)
             self._foreign.pop(name, None)
@@ -261,7 +265,7 @@
     def take_left(
         self, ids: tuple[str, ...], revision: revisions.Revision
     ) -> None:
-        """Takes in a peer's word that endpoints may get no more work."""
+        """Applies a peer's report that endpoints are no longer available."""
         for endpoint_id in ids:
             listed = self._listed.entries.get(endpoint_id)
             if listed is not None and self._listed.leave(endpoint_id, revision):
@@ -276,17 +280,17 @@
                 )
 
     def store_answered(self) -> None:
-        """Notes that the store answered a call."""
+        """Records that the store answered a call."""
         now = self._now()
         age = self._freshness.age_s(now)
         self._listed.store_returned(now, 0.0 if age is None else age)
         self._note_store(True, "")
 
     def store_failed(self, why: str) -> None:
-        """Notes that the store did not answer a call.
+        """Records that a call to the store failed.
 
         Args:
-            why: What failed, for the log.
+            why: The reason, for the log.
         """
         self._listed.store_lost()
         self._note_store(False, why)
@@ -321,11 +325,11 @@
     def _decode_all(
         self, objects: list[tuple[str, revisions.Revision, bytes]]
     ) -> tuple[list[tuple[model.Endpoint, revisions.Revision]], list[str]]:
-        """Decodes entries; one that cannot be read names no endpoint.
+        """Decodes entries; unreadable ones are logged and skipped.
 
         Returns:
-            The endpoints with their entries' revisions, and the ids of those
-            whose entries became unreadable.
+            The endpoints with their entries' revisions, and the ids of the
+            endpoints whose entries became unreadable.
         """
         decoded: list[tuple[model.Endpoint, revisions.Revision]] = []
         ended: list[str] = []
@@ -345,7 +349,7 @@
     def _note_foreign(
         self, name: str, spec: bytes, error: errors.PlatformError
     ) -> None:
-        """Logs and counts what cannot be read, once a change."""
+        """Logs and counts an unreadable entry once per change."""
         if self._foreign.get(name) == spec:
             return
         if len(self._foreign) >= MAX_FOREIGN:
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -1,4 +1,4 @@
-"""Grants to send requests to endpoints that take only so many a second."""
+"""Grants for sending requests to rate-limited endpoints."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,23 +14,23 @@
 from martenjunction.routing import limit_sync
 from martenjunction.routing import peer_messages
 
-# Seconds that a request waits for the holder's answer before it goes elsewhere.
+# Timeout in seconds for the holder's answer, after which a request is sent to
+# another endpoint.
 ANSWER_LIMIT_S = 0.06
 
-# Seconds for which an endpoint whose holder did not answer gets nothing from
-# this box.
+# Seconds for which this box sends nothing to an endpoint whose holder did not
+# answer.
 NO_ANSWER_PAUSE_S = 0.25
 
-# Boxes that may pass a question on: in a large fleet the first one that is
-# asked is most often not the holder, but one that hears it.
+# Maximum number of times a message is forwarded. In a large fleet the first box
+# asked is usually not the holder, but a box that hears it.
 MOST_HOPS = 2
 
-# Questions that a box passed on, or buckets that it keeps, at the most.
+# Maximum number of forwarded messages awaiting an answer, and of buckets.
 MAX_PASSED_ON = 1024
 MAX_BUCKETS = 1024
 
-# Seconds after which a bucket that nobody asked for is forgotten; it begins
-# empty again.
+# Seconds after which an unused bucket is removed; a new one starts empty.
 BUCKET_LIFETIME_S = 10.0
 LOOK_INTERVAL_S = 1.0
 
@@ -39,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateGrant:
-    """A request that may be sent.
+    """A grant to send one request to an endpoint.
 
     Attributes:
         endpoint_id: The endpoint.
-        giver: The box that granted it; None where none has to.
+        giver: The box that granted it; None if the endpoint has no limit.
     """
 
     endpoint_id: str
@@ -52,15 +52,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
+    """The token bucket of an endpoint and the time of its last use."""
+
     grants: grant_bucket.GrantBucket
     asked_at: float
 
 
 class RateGrants:
-    """The one gate that each request to an endpoint passes.
+    """Admits each request to an endpoint within the endpoint's rate limit.
 
-    A limit is one number for all boxes, so what each of them decides by itself
-    adds up to more: one box, the endpoint's holder, grants each request.
+    A limit applies to all boxes together. Boxes that decide independently would
+    exceed it in total, so one box, the endpoint's holder, grants each request.
     """
 
     def __init__(
@@ -72,15 +74,15 @@
         heard: Callable[[], list[membership.Member]],
         clock: timers.Timers,
     ) -> None:
-        """Makes it; `start` begins to answer the other boxes.
+        """Initializes the grants; `start` subscribes to peer messages.
 
         Args:
-            book: Knows the endpoints' limits.
-            words: Told of what other boxes know of them.
+            book: Holds the endpoints' limits.
+            words: Synchronizes the limits between boxes.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            heard: Returns the other boxes that are heard.
-            clock: Tells the time.
+            members: The boxes of the fleet.
+            heard: Returns the live boxes with a recent status.
+            clock: The clock and timers.
         """
         self._limits = book.limits
         self._words = words
@@ -96,27 +98,27 @@
 
     @property
     def refused(self) -> int:
-        """Requests that were not granted."""
+        """Number of requests of this box that were denied."""
         return self._refused
 
     @property
     def given(self) -> int:
-        """Requests that this box granted, also those of other boxes."""
+        """Number of requests granted by this box, for itself and others."""
         return self._given
 
     def start(self) -> None:
-        """Listens to the other boxes."""
+        """Subscribes to peer messages and timers."""
         self._peers.subscribe(peer_messages.AskGrant, self._on_ask)
         self._peers.subscribe(peer_messages.GrantAnswer, self._on_answer)
         self._peers.subscribe(peer_messages.GrantUnused, self._on_unused)
         self._timers.subscribe("rate-grants", LOOK_INTERVAL_S, self._forget)
 
     def holder(self, endpoint_id: str) -> str:
-        """Returns the box that grants requests, as far as this one knows."""
+        """Returns the box that grants requests, as known to this box."""
         return self._selector.holder(endpoint_id)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the limits, and who grants requests, by endpoint."""
+        """Returns the limit and the holder of each limited endpoint."""
         now = self._timers.now()
         return {
             endpoint_id: {
@@ -130,15 +132,13 @@
         }
 
     async def take(self, endpoint_id: str) -> RateGrant | None:
-        """Returns a grant to send a request to an endpoint now.
-
-        To be asked right before it is sent.
+        """Acquires a grant; to be called right before a request is sent.
 
         Args:
             endpoint_id: The endpoint.
 
         Returns:
-            The grant; None if there is none now, or nobody gives it.
+            The grant; None if it is denied or the holder does not answer.
         """
         if self._limits.per_s(endpoint_id) is None:
             return RateGrant(endpoint_id)
@@ -157,7 +157,7 @@
         return RateGrant(endpoint_id, holder)
 
     def put_back(self, grant: RateGrant) -> None:
-        """Takes a grant back that was not used, as nothing was sent."""
+        """Returns an unused grant, as its request was not sent."""
         if grant.giver == self._selector.own_box:
             self._put_back(grant.endpoint_id)
         elif grant.giver is not None:
@@ -165,10 +165,10 @@
             self._peers.send(grant.giver, unused)
 
     def _give(self, endpoint_id: str) -> float:
-        """Grants a request, as the holder.
+        """Grants or denies a request, as the holder.
 
         Returns:
-            0 if it is granted, else seconds after which to ask again.
+            0 if it is granted, else the seconds after which to retry.
         """
         now = self._timers.now()
         limit = self._limits.per_s(endpoint_id)
@@ -193,13 +193,14 @@
             bucket.grants.put_back()
 
     async def _ask(self, holder: str, endpoint_id: str) -> float:
-        """Asks another box for a grant; returns what `_give` does."""
+        """Requests a grant from another box; returns the same as `_give`."""
         answered: asyncio.Future[peer_messages.GrantAnswer] = (
             asyncio.get_running_loop().create_future()
         )
         number = self._next()
         self._asked[number] = answered
-        # One question at a time: the others of this box go elsewhere.
+        # Only one grant request is in flight per endpoint; meanwhile other
+        # requests of this box are sent to other endpoints.
         self._limits.close(endpoint_id, self._timers.now() + ANSWER_LIMIT_S)
         question = peer_messages.AskGrant(
             number, self._words.word(endpoint_id), 0
@@ -239,7 +240,7 @@
     def _answer(
         self, box: str, number: int, endpoint_id: str, wait_s: float
     ) -> None:
-        # A wait that is rounded to nothing would read as a grant.
+        # A wait that is rounded to 0 would be taken for a grant.
         wait_ms = int(wait_s / MS) + 1 if wait_s else 0
         self._peers.send(
             box,
--- a/martenjunction/routing/suspect_news.py
+++ b/martenjunction/routing/suspect_news.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other of suspected requests."""
+"""Encodes and decodes records of suspected requests for peer messages."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -8,14 +8,14 @@
 from martenjunction.routing import peer_messages
 from martenjunction.routing import request_content
 
-# The longest name of an endpoint or build that is taken from a peer.
+# Maximum length of a service, endpoint or build name accepted from a peer.
 MAX_NAME = 256
 
 
 def encode(
     suspects: Iterable[suspect_table.Suspect],
 ) -> peer_messages.Suspects:
-    """Returns the message that tells of some requests."""
+    """Returns a message with the records of suspected requests."""
     rows = [(suspect.key, suspect.held) for suspect in suspects]
     return peer_messages.Suspects(
         tuple(key.caller for key, _ in rows),
@@ -35,10 +35,10 @@
 def decode(
     news: peer_messages.Suspects,
 ) -> Iterator[tuple[request_content.ContentKey, suspicion.Suspicion]]:
-    """Yields what a message tells of each request.
+    """Yields the key and the record of each request in a message.
 
-    What cannot be true is left out: a digest of another length, a count or a
-    generation below its least value, names that are too long.
+    Invalid records are skipped: those with a digest of the wrong length, a
+    count or generation below its minimum, or a name that is too long.
     """
     rows = zip(
         news.callers,
--- a/martenjunction/routing/suspect_sync.py
+++ b/martenjunction/routing/suspect_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other boxes which requests are suspected, and hears of theirs."""
+"""Synchronizes the suspected requests between boxes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,8 +12,8 @@
 from martenjunction.routing import request_content
 from martenjunction.routing import suspect_news
 
-# Suspected requests that a box tells of on a new connection, those with the
-# most against them first; more than a flood of them would fill thin links.
+# Maximum number of suspected requests sent on a new connection, by descending
+# weight. A larger number would saturate links of low bandwidth.
 TOLD_TO_NEW = 64
 
 Take = Callable[
@@ -24,7 +24,7 @@
 
 
 class SuspectSync:
-    """One box's exchange with the others about suspected requests."""
+    """Exchanges records of suspected requests with the other boxes."""
 
     def __init__(
         self,
@@ -33,14 +33,14 @@
         members: membership.Membership,
         take: Take,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            table: What this box knows.
+            table: The suspected requests that this box knows.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            take: Takes in what a box holds against a request; returns what
-                changed by it.
+            members: The boxes of the fleet.
+            take: Merges another box's record of a request; returns the result
+                if it changed.
         """
         self._table = table
         self._peers = peers
@@ -50,7 +50,7 @@
         self._to_pass_on: _Batch = {}
 
     def start(self, emitter: events.Events) -> None:
-        """Listens to the other boxes.
+        """Subscribes to peer messages and new connections.
 
         Args:
             emitter: Announces new connections to boxes.
@@ -59,16 +59,17 @@
         emitter.connect(events.PEER_CONNECTED, self._greet)
 
     def tell(self, suspect: suspect_table.Suspect) -> None:
-        """Tells all boxes of a change, in this turn of the loop."""
+        """Schedules a change for broadcast in this event loop iteration."""
         if not self._untold:
             asyncio.get_running_loop().call_soon(self._broadcast, self._untold)
         self._untold[suspect.key] = suspect
 
     def pass_on(self) -> None:
-        """Passes on what came up since, to boxes that its sender may not hear.
+        """Forwards pending changes to boxes that their sender may not reach.
 
-        To be called some times a second: one by one, each suspect of one end
-        makes as many messages as the fleet has links.
+        To be called a few times per second. Forwarding each change separately
+        would take one message per link of the fleet for each of the requests
+        that were running at an endpoint when it ended.
         """
         self._broadcast(self._to_pass_on)
 
@@ -78,7 +79,7 @@
             batch.clear()
 
     def _greet(self, box: str) -> None:
-        """Tells a box that was not connected what is held against whom."""
+        """Sends the suspected requests to a newly connected box."""
         known = [s for s in self._table if s.held.generation]
         known.sort(key=suspect_table.weight, reverse=True)
         if known:
@@ -97,5 +98,6 @@
             elif passes_on:
                 self._to_pass_on[key] = changed
         if outdated:
-            # Else what it holds against them would not count anywhere.
+            # Without the current epoch, ends that the sender records would be
+            # ignored by all other boxes.
             self._peers.send(box, suspect_news.encode(outdated))
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which endpoints end from doing it again."""
+"""Quarantines requests that repeatedly make endpoints end."""
 
 import asyncio
 import collections
@@ -25,32 +25,44 @@
 from martenjunction.routing import trial_grants
 
 # Seconds for which a run that broke off waits for proof that its endpoint has
-# ended: an entry is written anew within some seconds of the new start.
+# ended: a restarted endpoint rewrites its entry within some seconds.
 UNSURE_S = 8.0
 MAX_UNSURE = 256
 
-# Seconds between two looks at those and at what may be forgotten.
+# Interval in seconds of checks of those runs and of expired records.
 LOOK_INTERVAL_S = 0.1
 
-# The longest part of the time that is left for which a request waits while
-# another run of its content is tried. It is then refused: sending it would send
-# all requests that began to wait at the same time at once.
+# Maximum fraction of its remaining time for which a request waits for a trial
+# of the same content. It is then refused, as sending it would send all requests
+# that began to wait at the same time at once.
 MOST_WAIT_PART = 0.5
 
-# The answer to a request that is not sent.
+# Status and error code of the answer to a quarantined request.
 QUARANTINED_STATUS = 503
 QUARANTINED_CODE = "ends-endpoints"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Unsure:
+    """A run that broke off and whose endpoint may have ended.
+
+    Attributes:
+        permit: The run's permit.
+        endpoint: The endpoint.
+        at: Time on the steady clock when the run broke off.
+    """
+
     permit: permits.Permit
     endpoint: model.Endpoint
     at: float
 
 
 class Suspects:
-    """One box's knowledge of requests that end endpoints."""
+    """Decides which requests one box may send, based on endpoints' ends.
+
+    A request during which an endpoint ended is suspected: it runs as one trial
+    at a time across the fleet, and is quarantined after further ends.
+    """
 
     def __init__(
         self,
@@ -63,17 +75,17 @@
         log: decision_log.DecisionLog,
         heard: Callable[[], list[membership.Member]],
     ) -> None:
-        """Makes it; `start` begins to listen to the other boxes.
+        """Initializes the quarantine; `start` subscribes to peer messages.
 
         Args:
             listed: The endpoints.
-            ends: Finds out whether endpoints have ended.
+            ends: Detects whether endpoints have ended.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            clock: Tells the time.
+            members: The boxes of the fleet.
+            clock: The clock and timers.
             emitter: Announces new connections to boxes.
-            log: Told of what is believed of requests.
-            heard: Returns the other boxes that this box hears.
+            log: Records changes of suspected requests.
+            heard: Returns the live boxes with a recent status.
         """
         self._listed = listed
         self._timers = clock
@@ -104,21 +116,21 @@
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
-        """The endpoints, to be read only."""
+        """The endpoints; read-only."""
         return self._listed
 
     @property
     def refused(self) -> int:
-        """Requests so far that were not sent, being quarantined."""
+        """Number of requests refused so far because of a quarantine."""
         return self._refused
 
     @property
     def table(self) -> suspect_table.SuspectTable:
-        """What is known, to be read only."""
+        """The suspected requests; read-only."""
         return self._table
 
     def start(self) -> None:
-        """Listens to the other boxes."""
+        """Subscribes to peer messages and timers."""
         self._sync.start(self._events)
         self._trials.start()
         self._timers.subscribe("suspects", LOOK_INTERVAL_S, self._look)
@@ -134,10 +146,13 @@
         Args:
             key: The request.
             service: The service.
-            deadline: Steady clock until which it may be held.
+            deadline: Time on the steady clock until which it may be held.
+
+        Returns:
+            A permit to send the request.
 
         Raises:
-            RefusalError: If it may not.
+            RefusalError: If the request is quarantined or its wait timed out.
         """
         began = self._timers.now()
         until = began + (deadline - began) * MOST_WAIT_PART
@@ -184,7 +199,7 @@
         return permits.Permit(self, key, service, trial_ruling)
 
     def stands(self, permit: permits.Permit) -> bool:
-        """Returns whether nothing came up since a permit was given."""
+        """Returns whether no end was recorded since a permit was issued."""
         suspect = self._table.find(permit.key)
         if suspect is None:
             return True
@@ -194,7 +209,7 @@
         return held.generation < ruling.generation
 
     def note_answer(self, permit: permits.Permit) -> None:
-        """Notes that an endpoint answered a run in full."""
+        """Records that an endpoint answered a run completely."""
         now = self._timers.now()
         cleared = self._table.note_answer(permit.key, permit.service.name, now)
         if cleared is not None:
@@ -206,7 +221,7 @@
     def note_end(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Notes that an endpoint ended under a run."""
+        """Records that an endpoint ended during a run."""
         now = self._timers.now()
         changed = self._table.note_end(
             permit.key,
@@ -223,19 +238,22 @@
     def note_unsure(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Notes that a run broke off, and that its endpoint may have ended."""
+        """Records that a run broke off and its endpoint may have ended."""
         self._unsure.append(_Unsure(permit, endpoint, self._timers.now()))
 
     def end_trial(self, permit: permits.Permit) -> None:
-        """Notes that a run on its own showed nothing."""
+        """Records that a trial was inconclusive."""
         self._trials.report_over(permit.key, permit.ruling.trial)
         self._end_trial(permit.key, permit.ruling.trial)
 
     def lift(self, name: str) -> bool:
-        """Clears a request by an operator's word; returns whether there was.
+        """Clears a suspected request at an operator's command.
 
         Args:
-            name: The request's content, as logs and the dump name it.
+            name: The request's content key, as shown in logs and the dump.
+
+        Returns:
+            Whether a matching request was cleared.
         """
         for suspect in self._table:
             if str(suspect.key) != name:
@@ -249,7 +267,7 @@
         return False
 
     def dump(self) -> list[dict[str, Any]]:
-        """Returns what is held against each suspected request."""
+        """Returns the records of all suspected requests."""
         now = self._timers.now()
         return [
             _describe(suspect, self._table.ends_needed(suspect, now))
@@ -282,14 +300,14 @@
         raise admission.RefusalError(
             QUARANTINED_STATUS,
             QUARANTINED_CODE,
-            "endpoints ended under it one after the other",
+            "quarantined: several endpoints ended during this request",
             again_s,
         )
 
     def _builds(
         self, service: model.Service, key: request_content.ContentKey
     ) -> frozenset[str]:
-        """Returns what runs at a service, where it matters."""
+        """Returns a service's ready builds; empty unless quarantined."""
         suspect = self._table.find(key)
         if suspect is None or not suspect.held.quarantined:
             return frozenset()
@@ -299,7 +317,7 @@
     async def _wait(
         self, key: request_content.ContentKey, wait_s: float
     ) -> None:
-        """Waits for news of a request, or until some time has passed."""
+        """Waits until a request's record changes or the timeout expires."""
         news: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiting = self._waiting.setdefault(key, set())
         waiting.add(news)
@@ -316,7 +334,7 @@
                 news.set_result(None)
 
     def _tell(self, suspect: suspect_table.Suspect) -> None:
-        """Tells all boxes, and the requests that wait here."""
+        """Wakes requests waiting in this box and notifies all boxes."""
         self._wake(suspect.key)
         self._sync.tell(suspect)
 
@@ -326,7 +344,7 @@
         key: request_content.ContentKey,
         held: suspicion.Suspicion,
     ) -> suspect_table.Suspect | None:
-        """Takes in what another box holds; returns what changed by it."""
+        """Merges another box's record; returns the result if it changed."""
         changed = self._table.take(key, held, self._timers.now())
         if changed is not None:
             cleared = not changed.held.generation
@@ -336,7 +354,7 @@
         return changed
 
     def _settle_unsure(self, endpoint_id: str) -> None:
-        """Takes in that an endpoint has ended, where runs broke off before."""
+        """Records a confirmed end for runs that broke off at the endpoint."""
         for run in list(self._unsure):
             if run.endpoint.id == endpoint_id:
                 self._unsure.remove(run)
@@ -354,7 +372,7 @@
         self._sync.pass_on()
 
     def _report_outlived_trials(self) -> None:
-        """Tells all boxes of trials still running after `OUTLIVED_S`.
+        """Notifies all boxes of trials still running after `OUTLIVED_S`.
 
         Time during which the event loop is blocked does not count.
         """
--- a/martenjunction/routing/trial_grants.py
+++ b/martenjunction/routing/trial_grants.py
@@ -74,7 +74,7 @@
             table: The suspected requests that this box knows.
             peers: Connections to the other boxes.
             selector: Selects the holder of a request.
-            clock: Tells the time.
+            clock: The clock and timers.
             decide: Grants or denies a trial, as the holder.
             take: Merges another box's record of a request.
             end: Ends an inconclusive trial, as the holder.
--- a/tests/ending_table.py
+++ b/tests/ending_table.py
@@ -1,8 +1,8 @@
-"""Plays requests that end endpoints, and endpoints that end by themselves.
+"""Runs trials in which endpoints end because of requests or independently.
 
     python -m tests.ending_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
-prints a line for each row and seed; the rows stand in `ROWS`.
+Prints one line per row and seed. `ROWS` defines the rows.
 """
 
 from martenjunction_lab import ending_requests
@@ -12,7 +12,7 @@
 Trial = ending_requests.Trial
 OWN = {"fatal": 0, "alike": 0.3, "own_ends": 18}
 
-# Some changes of the usual trial each.
+# Overrides of the default trial's parameters per row.
 ROWS: dict[str, dict[str, object]] = {
     "repeatable": {},
     "not-repeatable": {"kind": "unsafe"},
@@ -37,7 +37,7 @@
 
 
 async def play(row: str, seed: int) -> str:
-    """Plays one row with one seed; returns its line."""
+    """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = ending_requests.EndingFleet(trial)
     seen = await fleet.run(builders.config_document())
--- a/tests/limit_table.py
+++ b/tests/limit_table.py
@@ -1,8 +1,8 @@
-"""Plays endpoints that name the requests a second that they take.
+"""Runs trials with endpoints that announce rate limits.
 
     python -m tests.limit_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
-prints a line for each row and seed; the rows stand in `ROWS`.
+Prints one line per row and seed. `ROWS` defines the rows.
 """
 
 from martenjunction_lab import limited_endpoints
@@ -11,7 +11,7 @@
 
 Trial = limited_endpoints.Trial
 
-# Some changes of the usual trial each.
+# Overrides of the default trial's parameters per row.
 ROWS: dict[str, dict[str, object]] = {
     "serves-all": {},
     "turns-away": {"turns_away": True},
@@ -29,7 +29,7 @@
 
 
 async def play(row: str, seed: int) -> str:
-    """Plays one row with one seed; returns its line."""
+    """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = limited_endpoints.LimitedFleet(trial)
     seen = await fleet.run(builders.patient_config_document())
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Boxes of a large fleet that ask each other for grants, in simulated time."""
+"""Simulates the rate grants of a large fleet of boxes in virtual time."""
 
 import asyncio
 import dataclasses
@@ -17,14 +17,14 @@
 
 ENDPOINT = "e1"
 
-# Passes of the loop in which a question goes two hops and its answer back.
+# Event loop iterations in which a message travels two hops and its answer back.
 PASSES = 12
 STEP_S = 0.02
 
 
 @dataclasses.dataclass
 class Members:
-    """What one box believes of the others: all are there."""
+    """A membership in which all boxes are live."""
 
     own: membership.Member
     all: list[membership.Member]
@@ -34,11 +34,11 @@
 
 
 class Box:
-    """One box: its words and its grants.
+    """The rate limits and grants of one box.
 
     Attributes:
-        name: Its name.
-        heard: Names of the boxes that it hears.
+        name: The box's name.
+        heard: Names of the boxes from which it has a recent status.
     """
 
     def __init__(
@@ -77,11 +77,11 @@
 
 
 class LimitedBoxes:
-    """Boxes with the links of a large fleet, before one endpoint.
+    """Boxes with the connections of a large fleet and one endpoint.
 
     Attributes:
-        now: The time, in seconds.
-        sends: When requests were granted.
+        now: The virtual time in seconds.
+        sends: Times at which requests were granted.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -99,11 +99,11 @@
         self.draw = random.Random(seed)
 
     def hear(self, box: str, per_s: float | None) -> None:
-        """Has an answer to a box name a limit."""
+        """Simulates an answer to a box that contains a limit."""
         self.boxes[box].limits.say(ENDPOINT, per_s, self.now)
 
     async def run(self, seconds: float, asks_per_s: float) -> None:
-        """Lets drawn boxes ask for grants."""
+        """Lets randomly chosen boxes request grants."""
         until = self.now + seconds
         names = list(self.boxes)
         owed = 0.0
@@ -125,6 +125,6 @@
                     self.sends.append(self.now)
 
     async def settle(self) -> None:
-        """Lets messages arrive."""
+        """Runs the event loop until all messages are delivered."""
         for _ in range(PASSES):
             await asyncio.sleep(0)
--- a/tests/limited_replicas.py
+++ b/tests/limited_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that name a limit, before a box in tests."""
+"""Replicas that announce a rate limit, for tests of boxes."""
 
 import time
 
@@ -7,7 +7,7 @@
 
 
 class Limited(replica.Replica):
-    """A replica that names a limit in its answers."""
+    """A replica that announces a rate limit in its answers."""
 
     limit: str | None = "1"
 
@@ -20,7 +20,7 @@
 async def start(
     fleet: boxes.Boxes, service: str, count: int, limit: str = "1"
 ) -> list[Limited]:
-    """Returns replicas of a service that name limits."""
+    """Starts and returns replicas of a service that announce a limit."""
     made = [Limited(f"i-{number}") for number in range(1, count + 1)]
     for one in made:
         one.limit = limit
@@ -32,6 +32,6 @@
 
 
 def say(fleet: boxes.Boxes, made: Limited, limit: float) -> None:
-    """Has all boxes hear of a limit, as if the replica had named it."""
+    """Reports a limit to all boxes as if the replica had announced it."""
     for box in fleet.gateways:
         box.limits.say(made.id, limit, time.monotonic())
--- a/tests/linked_boxes.py
+++ b/tests/linked_boxes.py
@@ -1,4 +1,4 @@
-"""Boxes with the links that a large fleet has, less all that they do."""
+"""Simulates the connections of a large fleet without the boxes' functions."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 
 
 class Node:
-    """One box, in the place of its hub and of its members.
+    """Stands in for one box's peer hub and membership.
 
     Attributes:
-        name: The box.
+        name: The box's name.
         zone: Number of its availability zone.
-        links: Boxes that it has a connection to.
-        sent: Messages that it sent.
+        links: Names of the boxes that it is connected to.
+        sent: Number of messages that it sent.
         emitter: Announces new connections.
     """
 
@@ -53,7 +53,7 @@
 
 
 class LinkedBoxes:
-    """Boxes with the links that they have in a fleet of this size."""
+    """Boxes connected as in a real fleet of this size."""
 
     def __init__(self) -> None:
         self.nodes = {
@@ -73,10 +73,10 @@
 
     @property
     def links(self) -> int:
-        """Ends of connections, which is the messages of one word by all."""
+        """Number of messages if each box broadcasts once."""
         return sum(len(node.links) for node in self.nodes.values())
 
     @property
     def sent(self) -> int:
-        """Messages that all boxes sent."""
+        """Number of messages sent by all boxes."""
         return sum(node.sent for node in self.nodes.values())
--- a/tests/telling_table.py
+++ b/tests/telling_table.py
@@ -1,8 +1,8 @@
-"""Plays endpoints that say in answers that they leave or want rest.
+"""Runs trials with endpoints that announce leaving or request a back-off.
 
     python -m tests.telling_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
-prints a line for each row and seed; the rows stand in `ROWS`.
+Prints one line per row and seed. `ROWS` defines the rows.
 """
 
 from martenjunction_lab import telling_endpoints
@@ -13,7 +13,7 @@
 Trial = telling_endpoints.Trial
 REST = {"word": telling_endpoints.Word.REST, "tell_engines": 0}
 
-# Some changes of the usual trial each.
+# Overrides of the default trial's parameters per row.
 ROWS: dict[str, dict[str, object]] = {
     "leaving": {},
     "leaving-and-back": {"back_at_s": 6.0},
@@ -37,7 +37,7 @@
 
 
 async def play(row: str, seed: int) -> str:
-    """Plays one row with one seed; returns its line."""
+    """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(trial)
     seen = await fleet.run(builders.patient_config_document())
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -1,4 +1,4 @@
-"""A box that knows of a change which it does not have."""
+"""A box that knows of a newer configuration that it does not have yet."""
 
 import dataclasses
 import random
@@ -60,9 +60,9 @@
 
 
 def test_box_that_lags_refuses_what_a_change_may_have_taken_away() -> None:
-    # A box that was behind for seconds, and knew it from its peers, ran
-    # requests with keys that the change took away: where keys do not fail
-    # closed nothing kept it from that.
+    # Guards against serving requests with revoked keys: unless keys fail
+    # closed, nothing else stops a box that has lagged for seconds and knows it
+    # from its peers.
     known = freshness()
     judge = admitter(known)
     taken = judge.admit(facts(), "/safe/x", 0.0)
@@ -88,8 +88,8 @@
 def test_request_that_waited_is_judged_by_the_change(
     changes: dict[str, object],
 ) -> None:
-    # Requests waited in their box for up to 0.9 s before they were sent on; a
-    # change of their route that came in force meanwhile was not looked at.
+    # Guards against ignoring a change of the route that takes effect while a
+    # request waits in its box, which was observed to take up to 0.9 s.
     judge = admitter(freshness())
     taken = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8, **changes))
@@ -103,7 +103,7 @@
     assert judge.still_allowed(taken, 0.0, 0.5)
 
 
-# Documents that a box can tell as differences.
+# Deltas between configuration documents.
 
 
 def kept(*versions: int) -> config_documents.ConfigDocuments:
@@ -161,7 +161,7 @@
 async def test_box_whose_document_differs_asks_for_the_whole_one(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It asked again for what differs from a document that it does not have.
+    # Guards against requesting a delta to a document that the box lacks.
     box = fleet.gateways[0]
     await boxes.until(lambda: box.picture.version == 7)
     asked: list[peer_messages.AskView] = []
@@ -194,12 +194,12 @@
     assert not box.dump()["ready"]
 
 
-# Which box reads, and how often.
+# Election of the reader, and its interval.
 
 
 def test_box_with_the_widest_link_reads() -> None:
-    # The reader of a group was drawn without regard to its link, and one of 5
-    # Mbit/s was to take 370 kB in each 0.6 s.
+    # Guards against electing a reader without regard to its bandwidth: a box
+    # with 5 Mbit/s would have to read 370 kB every 0.6 s.
     wide = store_readers.PeerAge("wide", True, 0.1, 12_500)
     thin = [store_readers.PeerAge(f"b{n}", False, 0.1, 625) for n in range(20)]
     own = store_readers.ReaderRole("own", 625)
--- a/tests/test_ending_requests.py
+++ b/tests/test_ending_requests.py
@@ -1,11 +1,11 @@
-"""Requests under which endpoints end, sent again and again.
+"""Requests that make endpoints end and are sent repeatedly.
 
-On six boxes before five engines one request ended ten engines in 13 seconds,
-another one twelve. Its client sent it again each time, with another id and to
-another box, and no box knew that endpoints had ended under it before: the log
-had 9,424 prompt tokens at every end and no answer to them. A box that might
-repeat it sent it to the next engine as soon as the first had ended. After the
-third end, three more arrivals are borne from when all boxes can know of it.
+Guards against a request that ends one endpoint after the other: with six boxes
+and five engines, one request ended ten engines in 13 seconds and another one
+twelve. The client resends it with a new id to another box, which does not know
+of the earlier ends, and a box that may retry it sends it to the next engine as
+soon as the first has ended. After the third end, three more arrivals are
+tolerated from the time when all boxes can know of it.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 from martenjunction_lab import ending_requests
 from tests import routing_builders as builders
 
-# Arrivals that are borne after the third end is known.
+# Number of arrivals tolerated after the third end is known.
 MOST_LATE = 3
 
 SHORT = ending_requests.Trial(seconds=6.0, back_s=1.0)
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -1,12 +1,11 @@
-"""Endpoints that say in their answers that they leave.
-
-While the store was silent, an engine began to leave; its entry could not say
-so, but all its answers did, by `Server-Leaving: 1`. The store took the entry
-12.8 s later, at 20.31 s. At 19.885 s the box that had passed on such an answer
-at 10.52 s sent the engine another request: its log had no line of it before
-`endpoints-left` at 20.311 s. Two seconds are borne. Of the other boxes each
-would have had to be told by an answer of its own. No head of an answer was
-searched for it; that an endpoint leaves was known from its entry alone.
+"""Endpoints that announce in their answers that they are leaving.
+
+Guards against boxes that learn of a leaving endpoint only from its entry in the
+store. While the store is down, only `Server-Leaving: 1` in the endpoint's
+answers shows it: in an outage the entry was written 12.8 s late, and a box sent
+a request 9.4 s after it had forwarded such an answer, where 2 s are tolerated.
+Boxes also share the announcement, as otherwise each of them would need an
+answer of its own.
 """
 
 import contextlib
@@ -58,7 +57,7 @@
 
 
 class Leaver(replica.Replica):
-    """A replica that says in all its answers that it leaves."""
+    """A replica that announces in all its answers that it is leaving."""
 
     def _notices(
         self, request: replica.Received, status: int
@@ -67,7 +66,7 @@
 
 
 async def leaver(fleet: boxes.Boxes, service: str) -> Leaver:
-    """Returns a leaver, the only replica of its service."""
+    """Starts and returns a leaver as the only replica of its service."""
     made = Leaver("i-1")
     await made.start()
     fleet.replicas.append(made)
--- a/tests/test_leaving_spread.py
+++ b/tests/test_leaving_spread.py
@@ -1,4 +1,4 @@
-"""How all boxes hear of an endpoint that says that it leaves."""
+"""Propagation of an endpoint's announcement that it is leaving."""
 
 import asyncio
 import dataclasses
@@ -62,7 +62,7 @@
 
 def test_what_another_box_does_not_send_to_leaves() -> None:
     known = listed()
-    # Its entry says ready, and the box that tells it sends it nothing.
+    # Its entry is ready, but the sender of the view does not use it.
     known.take_view([(start(1), rev(9))], set(), rev(9), 1.0)
     assert known.ready_ids() == []
 
@@ -75,7 +75,7 @@
 
 
 class Fleet:
-    """87 boxes that tell one another of endpoints that leave."""
+    """87 boxes that exchange announcements of leaving endpoints."""
 
     def __init__(self) -> None:
         self.linked = linked_boxes.LinkedBoxes()
@@ -100,7 +100,7 @@
     for _ in range(10):
         await asyncio.sleep(0)
     assert not any(known.ready_ids() for known in fleet.lists.values())
-    # Each box tells it once.
+    # Each box broadcasts it once.
     assert fleet.linked.sent <= fleet.linked.links
 
 
--- a/tests/test_limited_endpoints.py
+++ b/tests/test_limited_endpoints.py
@@ -1,12 +1,10 @@
-"""Endpoints that name the requests a second that they take from all boxes.
-
-An engine named 2.1 requests a second in its answers from 8.0 s on. In the 4 s
-from 11.025 s on it got 31 requests, from all six boxes, where 18 are allowed;
-another one that named 1 got 13 in the 4 s from 18.086 s on, of 11. No line of
-any log told of a limit, and the log has 2 to 6 requests there of each of five
-boxes in those 4 s: as many as before, the busiest engine of five. No head of an
-answer was searched for a limit. It is one number for all boxes together, so no
-box can keep to it alone; one grants the requests of all of them.
+"""Endpoints that announce a rate limit for all boxes together.
+
+Guards against ignoring a limit in the headers of answers. Six boxes that did so
+sent 31 requests within 4 s to an engine with a limit of 2.1 requests per
+second, where 18 are allowed, and 13 to one with a limit of 1, where 11 are
+allowed. No box can keep a shared limit alone, so one box grants the requests of
+all boxes.
 """
 
 import dataclasses
@@ -19,7 +17,7 @@
 
 SHORT = limited_endpoints.Trial(from_s=1.0, seconds=9.0)
 
-# The least part of a limit that is to be used where enough is asked for.
+# Minimum fraction of a limit to be used if there is enough demand.
 LEAST_USED = 0.5
 
 
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -1,4 +1,4 @@
-"""Grants to send, asked of one box by all others of a large fleet."""
+"""Rate grants that one box, the holder, gives to a large fleet."""
 
 import pytest
 
@@ -41,8 +41,8 @@
     most = limit_outcome.most_in_window(fleet.sends)
     assert most <= limit_outcome.allowed(limit)
     assert len(fleet.sends) >= 0.5 * limit * seconds
-    # Each box asks in vain once in the longest turn at most, and a question
-    # goes over as many links as it may, there and back.
+    # Each box gets at most one denial per longest turn, and a message and its
+    # answer travel at most the maximum number of hops.
     asked = linked_boxes.BOXES / grant_bucket.LONGEST_TURN_S + limit
     hops = 2 * (1 + rate_grants.MOST_HOPS)
     assert fleet.linked.sent - before <= seconds * asked * hops
@@ -89,7 +89,7 @@
     node = fleet.linked.nodes[holder]
     node.subscribe(peer_messages.AskGrant, lambda box, message: None)
     assert await asker.grants.take(ENDPOINT) is None
-    # Nobody asks it again at once.
+    # The box does not ask it again immediately.
     before = fleet.linked.sent
     assert await asker.grants.take(ENDPOINT) is None
     assert fleet.linked.sent == before
@@ -98,7 +98,7 @@
 async def test_grant_that_comes_too_late_is_given_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The holder, or the asking box, was suspended meanwhile.
+    # This happens if the holder or the asking box is suspended meanwhile.
     monkeypatch.setattr(rate_grants, "ANSWER_LIMIT_S", 0.01)
     fleet = await told(2.0)
     asker, holder = next(
@@ -118,7 +118,7 @@
     holder.grants._on_ask(*questions[0])
     assert holder.grants.given == 1
     await fleet.settle()
-    # Both that are kept at most are there again.
+    # The bucket is back at its maximum of two grants.
     assert await holder.grants.take(ENDPOINT) is not None
     assert await holder.grants.take(ENDPOINT) is not None
     assert await holder.grants.take(ENDPOINT) is None
--- a/tests/test_resting_endpoints.py
+++ b/tests/test_resting_endpoints.py
@@ -1,13 +1,13 @@
-"""Endpoints that turn requests away and ask for rest.
+"""Endpoints that refuse requests and ask for a back-off.
 
-Two of five engines answered 503, not run, with `Retry-After: 3`, to all that
-they got for 9 s. One of them turned a box away at 9.861 s; three more requests
-reached it from there by 12.220 s, when two are borne from half a second later.
-The log has 32 requests that were refused by those two in that time: each was
-chosen with 0 to 2 requests running there, while others ran up to 4. Three of
-them, which had come back after a refusal, were refused for good, as no repeat
-was left, with three engines that served. No head of an answer was searched for
-`Retry-After`: each refusal kept its endpoint from being asked for 0.1 s.
+Guards against ignoring `Retry-After` in refusals. When two of five engines
+refused all requests for 9 s with status 503 and `Retry-After: 3`, each refusal
+kept its endpoint from being selected for 0.1 s only. The refusing engines were
+then preferred, as they had 0 to 2 requests in flight and the others up to 4:
+they refused 32 requests, and a box sent one of them three more requests within
+2.4 s of a refusal, where two are tolerated from 0.5 s after it on. Three
+requests failed as their retries were used up, although three engines were
+serving.
 """
 
 import dataclasses
@@ -19,9 +19,9 @@
 from martenjunction_lab import trial_fleet
 from tests import routing_builders as builders
 
-# On a busy machine many requests are under way to an endpoint before its first
-# refusal is read; repeats for all of them, so that a refusal for want of one is
-# not taken for one for want of an endpoint.
+# On a busy machine many requests are in flight to an endpoint before its first
+# refusal is read. The retry budget covers all of them, so that a refusal for
+# lack of retries is not mistaken for one for lack of endpoints.
 REPEATS = 600.0
 
 SHORT = telling_endpoints.Trial(
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -1,10 +1,10 @@
-"""A store that comes back from a copy that is some seconds old.
+"""A store that is restored from a copy that is some seconds old.
 
-What was acknowledged since the copy is gone, and its revisions are given out
-again; what the operator and the endpoints wrote is written again. Boxes hold
-the higher revisions of before, and take news with lower ones for old: an
-endpoint that then said `draining` went on getting work from all boxes. The
-entry of a box that joined since the copy was not written again.
+Writes acknowledged after the copy are lost and their revisions are reused; the
+operator and the endpoints repeat their writes. These tests guard against boxes
+that compare the new revisions with the higher ones they hold and drop updates
+as stale, so that a draining endpoint keeps getting requests, and against a
+missing entry of a box that joined after the copy.
 """
 
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 from martenjunction_lab import replica
 from tests import routing_builders as builders
 
-# Revisions that are given out between the copy and the outage.
+# Number of revisions written between the copy and the outage.
 BETWEEN = (5, 200)
 
 
@@ -31,16 +31,16 @@
 
 
 async def go_back(fleet: boxes.Boxes, revisions: int) -> replica.Replica:
-    """Has the store go back to a copy, and all others write again.
+    """Restores the store from a copy and repeats the endpoints' writes.
 
     Between the copy and the outage a box and an endpoint join.
 
     Args:
         fleet: Boxes and their store.
-        revisions: That are given out meanwhile.
+        revisions: Number of unrelated writes between the copy and the outage.
 
     Returns:
-        The endpoint that joined, whose entry is there again.
+        The endpoint that joined, whose entry is written again.
     """
     copy = fleet.store.copy()
     await fleet.add_box("box-late")
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -1,4 +1,4 @@
-"""How fast 87 boxes hear of a suspected request, and by how many messages."""
+"""Propagation time and message count of suspected requests in 87 boxes."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class Node:
-    """What one box knows of suspects."""
+    """The suspect table and suspect sync of one box."""
 
     def __init__(self, linked: linked_boxes.Node) -> None:
         self.name = linked.name
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """Boxes that tell one another of suspects."""
+    """Boxes that exchange records of suspected requests."""
 
     def __init__(self) -> None:
         self._linked = linked_boxes.LinkedBoxes()
@@ -56,7 +56,7 @@
         return self._linked.sent
 
     async def round(self) -> None:
-        """Lets all messages arrive, and all boxes pass on what they heard."""
+        """Delivers all messages and lets all boxes forward what they got."""
         for _ in range(5):
             await asyncio.sleep(0)
         for node in self.nodes.values():
@@ -77,7 +77,7 @@
     sent = fleet.sent
     for _ in range(5):
         await fleet.round()
-    # Nobody goes on telling what all know.
+    # Messages stop once all boxes know it.
     assert fleet.sent <= sent + fleet.links
     assert sent <= 2 * fleet.links
 
@@ -86,7 +86,7 @@
 async def test_one_end_that_many_boxes_see_takes_few_messages(
     at_once: int,
 ) -> None:
-    # Twenty boxes had a run at the endpoint that ended, each its own content.
+    # Each box had a run with its own content at the endpoint that ended.
     fleet = Fleet()
     nodes = list(fleet.nodes.values())
     for number, node in enumerate(nodes[:at_once]):
@@ -98,7 +98,7 @@
     for _ in range(8):
         await fleet.round()
     assert all(len(node.table) == at_once for node in nodes)
-    # Passed on one by one it would be that many times the links.
+    # Without batching there would be `at_once` messages per link.
     assert fleet.sent <= 4 * fleet.links
 
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints end, through a box before stand-ins."""
+"""Quarantine of requests during which endpoints end, with one real box."""
 
 import asyncio
 import dataclasses
@@ -45,7 +45,7 @@
 async def broken_under(
     fleet: boxes.Boxes, path: str = "/unsafe/"
 ) -> request_content.ContentKey:
-    """Has endpoints end under a request until it is quarantined."""
+    """Ends endpoints during runs of a request until it is quarantined."""
     made = [await fleet.add_replica(builders.PLAIN) for _ in range(3)]
     await fleet.until_listed()
     for number in range(20):
@@ -93,7 +93,7 @@
     again_s = float(head.get(b"retry-after") or 0)
     assert again_s > suspect_table.FIRST_RELEASE_S / 2
     assert requests.arrivals(fleet.replicas) == before
-    # Another content of the same caller is served.
+    # A request of the same caller with other content is served.
     head, _ = await requests.ask(fleet, "/unsafe/other", "other")
     assert head.status == 200
 
@@ -131,7 +131,7 @@
     head, _ = await requests.ask(fleet, "/unsafe/", "again")
     assert head.status == 200
     assert running([mended], "again")
-    # It was answered: nothing is held against it any more.
+    # The answer clears the request.
     assert only_suspect(fleet) is None
 
 
@@ -178,7 +178,8 @@
 async def test_end_that_shows_by_the_next_start_counts(
     fleet: boxes.Boxes,
 ) -> None:
-    # The port answers again before it is asked: only the entry tells.
+    # The port answers again before it is checked, so that only the rewritten
+    # entry proves the restart.
     [made] = [await fleet.add_replica(builders.PLAIN)]
     fleet.record(made, builders.PLAIN, born=1)
     box = fleet.gateways[0]
--- a/tests/trial_tables.py
+++ b/tests/trial_tables.py
@@ -1,4 +1,4 @@
-"""Plays rows of trials, as the command line names them."""
+"""Runs the rows of trials that are given on the command line."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,13 +8,13 @@
 
 
 def main(play: Callable[[str, int], Awaitable[str]]) -> None:
-    """Plays each row with each seed and prints its line.
+    """Runs each row with each seed and prints its line.
 
-    The command line holds the rows, parted by commas, the first and the last
-    seed.
+    The command line arguments are the rows, separated by commas, the first seed
+    and the last seed.
 
     Args:
-        play: Plays a row with a seed; returns its line.
+        play: Runs a row with a seed and returns its line.
     """
     logging.disable(logging.CRITICAL)
     rows, first, last = sys.argv[1].split(","), *map(int, sys.argv[2:4])
