--- a/martenjunction/routing/box_dump.py
+++ b/martenjunction/routing/box_dump.py
@@ -13,7 +13,7 @@
 
 
 def parts(
-    known: picture.Picture,
+    cache: picture.Picture,
     freshness: key_freshness.ConfigFreshness,
     client: store.StoreClient,
     book: endpoint_book.EndpointBook,
@@ -26,7 +26,7 @@
     """Returns the state of the components, without API keys.
 
     Args:
-        known: The local copy of the store's state.
+        cache: The local copy of the store's state.
         freshness: The age of the configuration.
         client: The store's client.
         book: The endpoints and their records.
@@ -37,12 +37,12 @@
         now: The current time on the steady clock in seconds.
     """
     return {
-        "config": {"version": known.version, "age_s": freshness.age_s(now)},
+        "config": {"version": cache.version, "age_s": freshness.age_s(now)},
         "store": {
-            "answers": known.store_answers,
+            "answers": cache.store_answers,
             "calls": client.calls,
             "era": client.era,
-            "returns": known.store_returns,
+            "returns": cache.store_returns,
         },
         "endpoints": {
             endpoint_id: {
--- a/martenjunction/routing/config_documents.py
+++ b/martenjunction/routing/config_documents.py
@@ -10,7 +10,7 @@
 
 # Number of documents kept as bases of deltas. A box that lacks more changes
 # gets the full document. A document with 48 routes takes 15 kB.
-KEPT = 4
+MAX_DOCUMENTS = 4
 
 # Base version that marks a full document.
 NO_BASE = 0
@@ -26,16 +26,16 @@
         self._specs: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
         )
-        self._news: dict[int, peer_messages.ConfigNews] = {}
+        self._updates: dict[int, peer_messages.ConfigNews] = {}
 
-    def keep(self, version: int, spec: bytes) -> None:
+    def add(self, version: int, spec: bytes) -> None:
         """Adds the document that is now in force."""
         self._specs[version] = spec
-        self._news.clear()
-        while len(self._specs) > KEPT:
+        self._updates.clear()
+        while len(self._specs) > MAX_DOCUMENTS:
             self._specs.popitem(last=False)
 
-    def news_for(self, version: int) -> peer_messages.ConfigNews | None:
+    def update_for(self, version: int) -> peer_messages.ConfigNews | None:
         """Returns the update for a box that has a given version.
 
         Args:
@@ -49,22 +49,22 @@
         if newest <= version:
             return None
         base = version if version in self._specs else NO_BASE
-        if base not in self._news:
+        if base not in self._updates:
             spec = self._specs[newest]
-            self._news[base] = peer_messages.ConfigNews(
+            self._updates[base] = peer_messages.ConfigNews(
                 newest,
                 base,
                 _digest(spec),
                 document_delta.encode(self._specs.get(base, b""), spec),
             )
-        return self._news[base]
+        return self._updates[base]
 
-    def news_of_last(self) -> peer_messages.ConfigNews | None:
+    def latest_update(self) -> peer_messages.ConfigNews | None:
         """Returns the update for a box that lacks only the last change."""
         versions = list(self._specs)
-        return self.news_for(versions[-2] if len(versions) > 1 else NO_BASE)
+        return self.update_for(versions[-2] if len(versions) > 1 else NO_BASE)
 
-    def document_in(self, news: peer_messages.ConfigNews) -> bytes | None:
+    def apply(self, update: peer_messages.ConfigNews) -> bytes | None:
         """Applies an update to its base document.
 
         Returns:
@@ -74,11 +74,11 @@
             PeerError: If the update cannot be decoded or the digest of the
                 result does not match.
         """
-        if news.base != NO_BASE and news.base not in self._specs:
+        if update.base != NO_BASE and update.base not in self._specs:
             return None
-        base = self._specs.get(news.base, b"")
-        spec = document_delta.apply(base, news.difference)
-        if _digest(spec) != news.digest:
+        base = self._specs.get(update.base, b"")
+        spec = document_delta.apply(base, update.delta)
+        if _digest(spec) != update.digest:
             raise errors.PeerError(
                 "digest mismatch after applying a configuration delta"
             )
--- a/martenjunction/routing/follower.py
+++ b/martenjunction/routing/follower.py
@@ -17,19 +17,19 @@
 
 # Timeout in seconds of a watch call. The store closes watches that it no longer
 # feeds, and a lost connection is detected by the other calls.
-WATCH_WAIT_S = 8.0
+WATCH_TIMEOUT_S = 8.0
 
 # Intervals in seconds at which the boxes' entries are listed: by a box that
 # reads for others, and by one that already has all its connections.
 BOXES_INTERVAL_S = 8.0
-BOXES_INTERVAL_BESIDE_S = 30.0
+BOXES_INTERVAL_IDLE_S = 30.0
 
 # Maximum staleness in seconds of such a list. Until that time has passed since
 # this box wrote its own entry, a list without the entry proves nothing.
-OLDEST_LIST_S = 10.0
+MAX_LIST_AGE_S = 10.0
 
 # Interval in seconds between the first two lists after a start.
-FIRST_BOXES_INTERVAL_S = 3.0
+INITIAL_BOXES_INTERVAL_S = 3.0
 
 # Upper bound in seconds of the random delay before a box checks its own entry
 # after the store was restored; spreads the calls of a large fleet.
@@ -40,9 +40,9 @@
 
 # Back-off in seconds after a failed call: the initial value, the maximum for
 # the first box of a group, and the maximum for a box that reads in its place.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.3
-LONGEST_PAUSE_BESIDE_S = 1.5
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.3
+MAX_BACKOFF_STANDBY_S = 1.5
 
 
 class StoreFollower:
@@ -51,7 +51,7 @@
     def __init__(
         self,
         client: store.StoreClient,
-        known: picture.Picture,
+        cache: picture.Picture,
         members: membership.Membership,
         own: documents.BoxEntry,
         log: decision_log.DecisionLog,
@@ -62,7 +62,7 @@
 
         Args:
             client: The store's client.
-            known: Receives the configuration and the endpoints.
+            cache: Receives the configuration and the endpoints.
             members: Receives the listed boxes.
             own: This box's entry.
             log: Records failed calls and changes of the reader role.
@@ -72,21 +72,21 @@
         self._link_bytes_s = link_bytes_s
         self._document_bytes = 0
         self._client = client
-        self._known = known
+        self._cache = cache
         self._members = members
         self._own = own
         self._log = log
         self._rng = rng
-        self._following: asyncio.Task[None] | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._watches: list[asyncio.Task[None]] = []
-        self._answered = False
+        self._follow_task: asyncio.Task[None] | None = None
+        self._read_task: asyncio.Task[None] | None = None
+        self._watch_tasks: list[asyncio.Task[None]] = []
+        self._synced = False
         self._first = True
         self._listed: dict[str, revisions.Revision] = {}
-        self._foreign: dict[str, revisions.Revision] = {}
-        self._recorded = False
-        self._recorded_at = 0.0
-        self._met = False
+        self._unreadable_entries: dict[str, revisions.Revision] = {}
+        self._own_entry_written = False
+        self._own_entry_written_at = 0.0
+        self._has_listed = False
         self._leaving = False
         # The store's era in which the own entry was last checked or written.
         self._own_entry_era = 0
@@ -96,7 +96,7 @@
     @property
     def answered(self) -> bool:
         """Whether this box reads and the store answered its last call."""
-        return self._answered
+        return self._synced
 
     def update_era(self, era: int) -> None:
         """Records the store's era, as reported by another box."""
@@ -105,7 +105,7 @@
     def start(self) -> None:
         """Starts following the boxes' entries and reading."""
         loop = asyncio.get_running_loop()
-        self._following = loop.create_task(self._repeat(self._follow_boxes))
+        self._follow_task = loop.create_task(self._repeat(self._follow_boxes))
         self.read(True, True)
 
     def read(self, wanted: bool, first: bool) -> None:
@@ -117,22 +117,24 @@
                 back-off after a failure.
         """
         self._first = first
-        if wanted is (self._reading is not None):
+        if wanted is (self._read_task is not None):
             return
         self._log.write("store-reading", reads=wanted, first=first)
         if wanted:
             loop = asyncio.get_running_loop()
-            self._reading = loop.create_task(self._read())
-        elif self._reading is not None:
-            self._reading.cancel()
-            self._reading = None
+            self._read_task = loop.create_task(self._read())
+        elif self._read_task is not None:
+            self._read_task.cancel()
+            self._read_task = None
 
     async def stop(self) -> None:
         """Stops the tasks and closes the client."""
-        tasks = [t for t in (self._following, self._reading) if t is not None]
+        tasks = [
+            t for t in (self._follow_task, self._read_task) if t is not None
+        ]
         for task in tasks:
             task.cancel()
-        await asyncio.gather(*tasks, *self._watches, return_exceptions=True)
+        await asyncio.gather(*tasks, *self._watch_tasks, return_exceptions=True)
         self._client.close()
 
     async def remove_own_entry(self) -> None:
@@ -145,22 +147,22 @@
         except errors.PlatformError as error:
             self._log.write("own-entry-kept", why=str(error))
 
-    async def _repeat(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
         """Repeats a step indefinitely, with back-off after failures."""
-        pause = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             try:
-                await work()
-                pause = FIRST_PAUSE_S
+                await step()
+                backoff_s = INITIAL_BACKOFF_S
             except errors.PlatformError as error:
                 self._log.write("store-call-failed", why=str(error))
-                pause = await self._pause(pause)
+                backoff_s = await self._back_off(backoff_s)
 
-    async def _pause(self, pause: float) -> float:
+    async def _back_off(self, backoff_s: float) -> float:
         """Backs off after a failed call; returns the next back-off."""
-        await asyncio.sleep(pause * (0.5 + self._rng.random()))
-        longest = LONGEST_PAUSE_S if self._first else LONGEST_PAUSE_BESIDE_S
-        return min(pause * 2.0, longest)
+        await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
+        max_backoff_s = MAX_BACKOFF_S if self._first else MAX_BACKOFF_STANDBY_S
+        return min(backoff_s * 2.0, max_backoff_s)
 
     async def _read(self) -> None:
         """Confirms the configuration periodically and watches for changes.
@@ -169,40 +171,40 @@
         full read when the store answers again, so that changes missed by a
         dead connection are found at once.
         """
-        pause = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         try:
             while True:
                 try:
                     known = await self._confirm_config()
                 except errors.PlatformError as error:
-                    self._end_watches()
-                    self._answered = False
-                    self._known.store_failed(str(error))
-                    pause = await self._pause(pause)
+                    self._stop_watches()
+                    self._synced = False
+                    self._cache.store_failed(str(error))
+                    backoff_s = await self._back_off(backoff_s)
                     continue
-                self._answered = True
-                self._begin_watches()
+                self._synced = True
+                self._start_watches()
                 if known:
-                    pause = FIRST_PAUSE_S
+                    backoff_s = INITIAL_BACKOFF_S
                     await asyncio.sleep(self._confirm_interval_s())
                 else:
                     # The watch will report the first configuration.
-                    pause = await self._pause(pause)
+                    backoff_s = await self._back_off(backoff_s)
         finally:
-            self._answered = False
-            self._end_watches()
+            self._synced = False
+            self._stop_watches()
 
-    def _begin_watches(self) -> None:
-        if self._watches:
+    def _start_watches(self) -> None:
+        if self._watch_tasks:
             return
         loop = asyncio.get_running_loop()
-        for work in (self._watch_config, self._watch_endpoints):
-            self._watches.append(loop.create_task(self._repeat(work)))
+        for step in (self._watch_config, self._watch_endpoints):
+            self._watch_tasks.append(loop.create_task(self._repeat(step)))
 
-    def _end_watches(self) -> None:
-        for task in self._watches:
+    def _stop_watches(self) -> None:
+        for task in self._watch_tasks:
             task.cancel()
-        self._watches = []
+        self._watch_tasks = []
 
     def _on_era_change(self, era: int) -> None:
         """Restarts the watches, as the store was restored from a copy."""
@@ -213,9 +215,9 @@
         asyncio.get_running_loop().call_soon(self._restart_watches)
 
     def _restart_watches(self) -> None:
-        if self._watches:
-            self._end_watches()
-            self._begin_watches()
+        if self._watch_tasks:
+            self._stop_watches()
+            self._start_watches()
 
     def _confirm_interval_s(self) -> float:
         """Returns the seconds until the next confirmation.
@@ -233,32 +235,32 @@
         found = await self._client.get(
             documents.CONFIG_KIND, documents.CONFIG_NAME
         )
-        self._known.store_answered()
+        self._cache.store_answered()
         if found is not None:
             self._document_bytes = len(found.spec)
-            self._known.take_config(found.spec, asked_at, "store")
+            self._cache.take_config(found.spec, asked_at, "store")
         return found is not None
 
     async def _watch_config(self) -> None:
         listing = await self._client.list(documents.CONFIG_KIND)
         for found in listing.objects:
-            self._take_watched(found)
+            self._apply_watched(found)
         await self._watch(
-            documents.CONFIG_KIND, listing.revision, self._take_config_change
+            documents.CONFIG_KIND, listing.revision, self._apply_config_change
         )
 
-    def _take_config_change(self, change: store.Change) -> None:
+    def _apply_config_change(self, change: store.Change) -> None:
         if not change.deleted:
-            self._take_watched(change.object)
+            self._apply_watched(change.object)
 
-    def _take_watched(self, found: store.StoredObject) -> None:
+    def _apply_watched(self, found: store.StoredObject) -> None:
         """Applies a configuration unless a newer one is in force."""
         if found.name == documents.CONFIG_NAME:
-            self._known.take_newer_config(found.spec, "watch")
+            self._cache.take_newer_config(found.spec, "watch")
 
     async def _watch_endpoints(self) -> None:
         listing = await self._client.list(documents.ENDPOINT_KIND)
-        self._known.take_endpoints(
+        self._cache.apply_listing(
             [(o.name, o.revision, o.spec) for o in listing.objects],
             listing.revision,
             "store",
@@ -266,14 +268,14 @@
         await self._watch(
             documents.ENDPOINT_KIND,
             listing.revision,
-            self._known.take_endpoint_change,
+            self._cache.apply_endpoint_change,
         )
 
     async def _watch(
         self,
         kind: str,
         after: revisions.Revision,
-        take: Callable[[store.Change], None],
+        apply: Callable[[store.Change], None],
     ) -> None:
         """Applies changes of a kind until the store has lost its history.
 
@@ -282,12 +284,12 @@
         """
         while True:
             try:
-                answer = await self._client.watch(kind, after, WATCH_WAIT_S)
+                answer = await self._client.watch(kind, after, WATCH_TIMEOUT_S)
             except errors.HistoryLostError:
                 return
             for change in answer.changes:
                 after = max(after, change.object.revision)
-                take(change)
+                apply(change)
 
     async def _follow_boxes(self) -> None:
         await self._ensure_own_entry()
@@ -306,15 +308,15 @@
             if member is not None:
                 self._members.listed(member, False, False)
         self._listed = present
-        age_s = time.monotonic() - self._recorded_at
-        if self._own.box not in present and age_s > OLDEST_LIST_S:
-            self._recorded = False
-        wait = BOXES_INTERVAL_BESIDE_S
-        if not self._met:
+        age_s = time.monotonic() - self._own_entry_written_at
+        if self._own.box not in present and age_s > MAX_LIST_AGE_S:
+            self._own_entry_written = False
+        wait = BOXES_INTERVAL_IDLE_S
+        if not self._has_listed:
             # If all boxes start at once, the others are not listed yet.
-            self._met = True
-            wait = FIRST_BOXES_INTERVAL_S
-        elif self._reading is not None:
+            self._has_listed = True
+            wait = INITIAL_BOXES_INTERVAL_S
+        elif self._read_task is not None:
             await self._remove_dead()
             wait = BOXES_INTERVAL_S
         await self._wait_for_next_list(wait * (0.8 + 0.4 * self._rng.random()))
@@ -337,7 +339,7 @@
         A box that is being stopped removes a restored entry instead.
         """
         era = self._client.era
-        known = self._recorded or self._leaving
+        known = self._own_entry_written or self._leaving
         if known and era != self._own_entry_era:
             found = await self._client.get(documents.BOX_KIND, self._own.box)
             if self._leaving:
@@ -346,10 +348,10 @@
                 )
             elif found is None or self._decode_box(found) != self._own:
                 self._log.write("own-entry-reverted", present=found is not None)
-                self._recorded = False
+                self._own_entry_written = False
             self._own_entry_era = era
-        if not self._recorded and not self._leaving:
-            await self._record_own()
+        if not self._own_entry_written and not self._leaving:
+            await self._write_own_entry()
 
     def _decode_box(
         self, found: store.StoredObject
@@ -358,14 +360,14 @@
         try:
             return documents.decode_box(found.name, found.spec)
         except errors.PlatformError as error:
-            if self._foreign.get(found.name) != found.revision:
-                self._foreign[found.name] = found.revision
+            if self._unreadable_entries.get(found.name) != found.revision:
+                self._unreadable_entries[found.name] = found.revision
                 self._log.write(
                     "entry-unreadable", entry=found.name, why=str(error)
                 )
             return None
 
-    async def _record_own(self) -> None:
+    async def _write_own_entry(self) -> None:
         spec = documents.encode_box(self._own)
         try:
             await self._client.create(documents.BOX_KIND, self._own.box, spec)
@@ -374,8 +376,8 @@
             await self._client.replace(
                 documents.BOX_KIND, self._own.box, spec, revision=None
             )
-        self._recorded = True
-        self._recorded_at = time.monotonic()
+        self._own_entry_written = True
+        self._own_entry_written_at = time.monotonic()
         self._own_entry_era = self._client.era
 
     async def _remove_dead(self) -> None:
--- a/martenjunction/routing/holders.py
+++ b/martenjunction/routing/holders.py
@@ -19,16 +19,16 @@
     def __init__(
         self,
         members: membership.Membership,
-        heard: Callable[[], list[membership.Member]],
+        responsive: Callable[[], list[membership.Member]],
     ) -> None:
         """Initializes the selector.
 
         Args:
             members: The boxes of the fleet.
-            heard: Returns the other boxes that this box hears.
+            responsive: Returns the other boxes that this box hears.
         """
         self._members = members
-        self._heard = heard
+        self._responsive_peers = responsive
 
     @property
     def own_box(self) -> str:
@@ -42,18 +42,22 @@
             key: The key.
             excluded: Boxes not to select, such as those that do not answer.
         """
-        heard = [m for m in self._heard() if m.box not in excluded]
-        group = self._group(key, heard)
-        return rendezvous.owner([m.box for m in group], key) or self.own_box
+        responsive = [
+            m for m in self._responsive_peers() if m.box not in excluded
+        ]
+        candidates = self._candidates(key, responsive)
+        return (
+            rendezvous.owner([m.box for m in candidates], key) or self.own_box
+        )
 
-    def heard_part(self, key: str) -> float:
+    def reachable_fraction(self, key: str) -> float:
         """Returns the fraction of the candidate boxes that this box hears."""
-        heard = self._group(key, self._heard())
+        responsive = self._candidates(key, self._responsive_peers())
         own = self._members.own
         others = [m for m in self._members.believed() if m is not own]
-        return min(1.0, len(heard) / len(self._group(key, others)))
+        return min(1.0, len(responsive) / len(self._candidates(key, others)))
 
-    def _group(
+    def _candidates(
         self, key: str, others: list[membership.Member]
     ) -> list[membership.Member]:
         """Returns the candidates for the holder among this box and others.
--- a/martenjunction/routing/leaving_sync.py
+++ b/martenjunction/routing/leaving_sync.py
@@ -9,7 +9,7 @@
 
 # Maximum number of endpoints sent on a new connection, the latest ones; more
 # would saturate links of low bandwidth.
-TOLD_TO_NEW = 256
+MAX_ON_CONNECT = 256
 
 
 class LeavingSync:
@@ -46,35 +46,37 @@
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.EndpointsLeaving, self._on_news)
-        emitter.connect(events.PEER_CONNECTED, self._greet)
+        self._peers.subscribe(peer_messages.EndpointsLeaving, self._on_leaving)
+        emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
     def say_leaving(self, endpoint_id: str) -> None:
         """Records an endpoint's own announcement and notifies all boxes."""
-        if self._take(endpoint_id, "endpoint"):
+        if self._record(endpoint_id, "endpoint"):
             self._broadcast([endpoint_id])
 
-    def _take(self, endpoint_id: str, told_by: str) -> bool:
+    def _record(self, endpoint_id: str, source: str) -> bool:
         """Records that an endpoint leaves; returns whether it is new."""
         if not self._listed.say_leaving(endpoint_id):
             return False
         self._log.write(
-            "endpoint-leaving", endpoint=endpoint_id, told_by=told_by
+            "endpoint-leaving", endpoint=endpoint_id, told_by=source
         )
         return True
 
     def _broadcast(self, ids: list[str]) -> None:
         self._peers.broadcast(peer_messages.EndpointsLeaving(tuple(ids)))
 
-    def _greet(self, box: str) -> None:
+    def _on_connected(self, box: str) -> None:
         """Sends the leaving endpoints to a newly connected box."""
-        ids = self._listed.leaving[-TOLD_TO_NEW:]
+        ids = self._listed.leaving[-MAX_ON_CONNECT:]
         if ids:
             self._peers.send(box, peer_messages.EndpointsLeaving(tuple(ids)))
 
-    def _on_news(self, box: str, news: peer_messages.EndpointsLeaving) -> None:
-        fresh = [i for i in news.ids if self._take(i, box)]
+    def _on_leaving(
+        self, box: str, message: peer_messages.EndpointsLeaving
+    ) -> None:
+        new_ids = [i for i in message.ids if self._record(i, box)]
         linked = len(self._peers.boxes()) + 1
-        if fresh and linked < len(self._members.believed()):
+        if new_ids and linked < len(self._members.believed()):
             # Forwards to boxes that the sender may not be connected to.
-            self._broadcast(fresh)
+            self._broadcast(new_ids)
--- a/martenjunction/routing/limit_sync.py
+++ b/martenjunction/routing/limit_sync.py
@@ -14,14 +14,14 @@
 # Minimum interval in seconds between two messages of a box about one endpoint.
 # An endpoint that changes its limit in each answer would otherwise saturate
 # links of low bandwidth.
-TELL_INTERVAL_S = 0.2
+MIN_SEND_INTERVAL_S = 0.2
 
 # Interval in seconds at which pending changes are sent and limits of unlisted
 # endpoints are removed.
-LOOK_INTERVAL_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 # Maximum number of limits sent on a new connection, the latest changes first.
-TOLD_TO_NEW = 256
+MAX_ON_CONNECT = 256
 
 MS = 0.001
 
@@ -56,8 +56,8 @@
         self._members = members
         self._timers = clock
         self._log = log
-        self._told_at: dict[str, float] = {}
-        self._untold: set[str] = set()
+        self._sent_at: dict[str, float] = {}
+        self._pending: set[str] = set()
 
     def start(self, emitter: events.Events) -> None:
         """Subscribes to peer messages, new connections and timers.
@@ -65,9 +65,9 @@
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.EndpointLimits, self._on_news)
-        emitter.connect(events.PEER_CONNECTED, self._greet)
-        self._timers.subscribe("limits", LOOK_INTERVAL_S, self._look)
+        self._peers.subscribe(peer_messages.EndpointLimits, self._on_limits)
+        emitter.connect(events.PEER_CONNECTED, self._on_connected)
+        self._timers.subscribe("limits", CHECK_INTERVAL_S, self._check)
 
     def say(
         self, endpoint_id: str, per_s: float | None, asked_at: float
@@ -83,35 +83,35 @@
         change = self._limits.say(endpoint_id, per_s, asked_at, now)
         if change is not None:
             self._apply(endpoint_id, change, "endpoint", 0.0)
-            self._untold.add(endpoint_id)
-            self._tell_due()
+            self._pending.add(endpoint_id)
+            self._send_due()
 
-    def word(self, endpoint_id: str) -> peer_messages.LimitWord:
+    def report(self, endpoint_id: str) -> peer_messages.LimitReport:
         """Returns this box's knowledge of an endpoint's limit for peers."""
-        word = self._limits.words.get(endpoint_id)
-        if word is None:
-            return peer_messages.LimitWord(endpoint_id, None, None)
-        age_s = max(0.0, self._timers.now() - word.since)
-        return peer_messages.LimitWord(
-            endpoint_id, word.per_s, round(age_s / MS)
+        known = self._limits.words.get(endpoint_id)
+        if known is None:
+            return peer_messages.LimitReport(endpoint_id, None, None)
+        age_s = max(0.0, self._timers.now() - known.since)
+        return peer_messages.LimitReport(
+            endpoint_id, known.per_s, round(age_s / MS)
         )
 
-    def take(self, box: str, word: peer_messages.LimitWord) -> bool:
+    def merge(self, box: str, report: peer_messages.LimitReport) -> bool:
         """Merges a limit known by another box; returns whether it changed."""
-        if word.age_ms is None:
+        if report.age_ms is None:
             return False
-        since = self._timers.now() - word.age_ms * MS
-        change = self._limits.take(word.endpoint, word.per_s, since)
+        since = self._timers.now() - report.age_ms * MS
+        change = self._limits.take(report.endpoint, report.per_s, since)
         if change is None:
             return False
-        self._apply(word.endpoint, change, box, word.age_ms * MS)
+        self._apply(report.endpoint, change, box, report.age_ms * MS)
         return True
 
     def _apply(
         self,
         endpoint_id: str,
         change: endpoint_limits.Change,
-        told_by: str,
+        source: str,
         age_s: float,
     ) -> None:
         self._log.write(
@@ -119,54 +119,60 @@
             endpoint=endpoint_id,
             per_s=change.per_s,
             before=change.before,
-            told_by=told_by,
+            told_by=source,
             age_ms=round(age_s / MS),
         )
         if change.per_s is None:
             self._book.unlimited(endpoint_id, self._timers.now())
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._timers.now()
         self._limits.keep_only(self._book.listed.entries, now)
-        self._tell_due()
+        self._send_due()
         for endpoint_id in [
-            i for i, at in self._told_at.items() if now - at > TELL_INTERVAL_S
+            i
+            for i, at in self._sent_at.items()
+            if now - at > MIN_SEND_INTERVAL_S
         ]:
-            del self._told_at[endpoint_id]
+            del self._sent_at[endpoint_id]
 
-    def _tell_due(self) -> None:
+    def _send_due(self) -> None:
         """Broadcasts pending changes, rate-limited per endpoint."""
         now = self._timers.now()
         due = [
             endpoint_id
-            for endpoint_id in self._untold
-            if now - self._told_at.get(endpoint_id, -TELL_INTERVAL_S)
-            >= TELL_INTERVAL_S
+            for endpoint_id in self._pending
+            if now - self._sent_at.get(endpoint_id, -MIN_SEND_INTERVAL_S)
+            >= MIN_SEND_INTERVAL_S
         ]
-        self._untold.difference_update(due)
-        self._told_at.update(dict.fromkeys(due, now))
+        self._pending.difference_update(due)
+        self._sent_at.update(dict.fromkeys(due, now))
         self._broadcast(due, True)
 
     def _broadcast(self, endpoint_ids: Iterable[str], first_hand: bool) -> None:
-        words = [self.word(endpoint_id) for endpoint_id in endpoint_ids]
-        if words:
+        reports = [self.report(endpoint_id) for endpoint_id in endpoint_ids]
+        if reports:
             self._peers.broadcast(
-                peer_messages.EndpointLimits.of(words, first_hand)
+                peer_messages.EndpointLimits.of(reports, first_hand)
             )
 
-    def _greet(self, box: str) -> None:
+    def _on_connected(self, box: str) -> None:
         """Sends the latest limits to a newly connected box."""
         newest = sorted(
             self._limits.words.items(), key=lambda item: -item[1].since
         )
-        words = [self.word(i) for i, _ in newest[:TOLD_TO_NEW]]
-        if words:
-            self._peers.send(box, peer_messages.EndpointLimits.of(words, False))
+        reports = [self.report(i) for i, _ in newest[:MAX_ON_CONNECT]]
+        if reports:
+            self._peers.send(
+                box, peer_messages.EndpointLimits.of(reports, False)
+            )
 
-    def _on_news(self, box: str, news: peer_messages.EndpointLimits) -> None:
-        fresh = [w.endpoint for w in news.words() if self.take(box, w)]
+    def _on_limits(
+        self, box: str, message: peer_messages.EndpointLimits
+    ) -> None:
+        changed = [w.endpoint for w in message.reports() if self.merge(box, w)]
         linked = len(self._peers.boxes()) + 1
-        if news.first_hand and linked < len(self._members.believed()):
+        if message.first_hand and linked < len(self._members.believed()):
             # Forwards to boxes that the sender may not be connected to. Limits
             # are forwarded only once, as each hop understates their age.
-            self._broadcast(fresh, False)
+            self._broadcast(changed, False)
--- a/martenjunction/routing/peer_messages.py
+++ b/martenjunction/routing/peer_messages.py
@@ -30,11 +30,12 @@
         engines: Ids of the engines that it has sent prompts to.
         sent: Prompt tokens that each of those engines had to prefill for the
             box since the box started.
-        learnt_of: Engine services that the box has seen requests for.
+        engine_services: Engine services that the box has seen requests for.
         prefill_rates: Prefill throughput of their engines in tokens per
             second; 0 if there are too few samples.
-        reading_token_us: Time per streamed token in microseconds while prompts
-            are prefilled concurrently; 0 if there are too few samples.
+        prefill_token_interval_us: Time per streamed token in microseconds
+            while prompts are prefilled concurrently; 0 if there are too few
+            samples.
         short_asked: Prefill demand of its requests with short prompts, in
             tokens per second.
         long_asked: Prefill demand of its requests with long prompts, in tokens
@@ -55,9 +56,9 @@
     unread: tuple[int, ...]
     engines: tuple[str, ...]
     sent: tuple[int, ...]
-    learnt_of: tuple[str, ...]
+    engine_services: tuple[str, ...]
     prefill_rates: tuple[int, ...]
-    reading_token_us: tuple[int, ...]
+    prefill_token_interval_us: tuple[int, ...]
     short_asked: tuple[int, ...]
     long_asked: tuple[int, ...]
 
@@ -94,13 +95,13 @@
     """Requests the store's state as known by another box.
 
     Attributes:
-        question: Correlates the answer with this message.
+        number: Correlates the answer with this message.
         version: Version of the sender's configuration; 0 for none.
         revision: Revision of the sender's endpoints.
         digest: A digest of the ids of the endpoints available to it.
     """
 
-    question: int
+    number: int
     version: int
     revision: revisions.Revision
     digest: int
@@ -112,12 +113,12 @@
     """The store's state as known by the sender.
 
     Attributes:
-        question: The number of the `AskView` message.
+        number: The number of the `AskView` message.
         age_ms: Milliseconds since its configuration was confirmed as the
             newest; -1 if it never was.
         version: The version of that configuration.
         revision: The store's revision up to which it knows the endpoints.
-        tells_endpoints: Whether the fields below are set; they are not if the
+        has_endpoints: Whether the fields below are set; they are not if the
             receiver is up to date.
         ready: Ids of all available endpoints.
         changed: Ids of the endpoints whose entries changed after the
@@ -127,11 +128,11 @@
         entries: Each changed entry.
     """
 
-    question: int
+    number: int
     age_ms: int
     version: int
     revision: revisions.Revision
-    tells_endpoints: bool
+    has_endpoints: bool
     ready: tuple[str, ...]
     changed: tuple[str, ...]
     eras: tuple[int, ...]
@@ -158,13 +159,13 @@
         version: Its version.
         base: The version that the delta applies to; 0 for a full document.
         digest: A digest of the resulting document.
-        difference: The delta; see `peers.document_delta`.
+        delta: The encoded difference; see `peers.document_delta`.
     """
 
     version: int
     base: int
     digest: int
-    difference: bytes
+    delta: bytes
 
 
 @codec.message("endpoints-left", urgent=True)
@@ -194,7 +195,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LimitWord:
+class LimitReport:
     """The rate limit of an endpoint as known by a box.
 
     Attributes:
@@ -214,7 +215,7 @@
 class EndpointLimits:
     """Rate limits of endpoints.
 
-    The first three fields have an item for each endpoint; see `LimitWord`.
+    The first three fields have an item for each endpoint; see `LimitReport`.
 
     Attributes:
         endpoints: Ids of the endpoints.
@@ -229,19 +230,21 @@
     first_hand: bool
 
     @classmethod
-    def of(cls, words: list[LimitWord], first_hand: bool) -> "EndpointLimits":
+    def of(
+        cls, reports: list[LimitReport], first_hand: bool
+    ) -> "EndpointLimits":
         """Returns a message with the given limits."""
         return cls(
-            tuple(word.endpoint for word in words),
-            tuple(word.per_s for word in words),
-            tuple(word.age_ms for word in words),
+            tuple(report.endpoint for report in reports),
+            tuple(report.per_s for report in reports),
+            tuple(report.age_ms for report in reports),
             first_hand,
         )
 
-    def words(self) -> list[LimitWord]:
+    def reports(self) -> list[LimitReport]:
         """Returns the limit of each endpoint."""
         rows = zip(self.endpoints, self.per_s, self.ages_ms, strict=False)
-        return [LimitWord(*row) for row in rows]
+        return [LimitReport(*row) for row in rows]
 
 
 @codec.message("ask-rate-grant", urgent=True)
@@ -251,12 +254,12 @@
 
     Attributes:
         number: Correlates the answer with this message.
-        word: The endpoint and its limit as known by the sender.
+        report: The endpoint and its limit as known by the sender.
         hops: Number of boxes that forwarded this message.
     """
 
     number: int
-    word: LimitWord
+    report: LimitReport
     hops: int
 
 
@@ -267,12 +270,12 @@
 
     Attributes:
         number: The number of the `AskGrant` message.
-        word: The endpoint and its limit as known by the sender.
+        report: The endpoint and its limit as known by the sender.
         wait_ms: Milliseconds after which to retry; 0 if it is granted.
     """
 
     number: int
-    word: LimitWord
+    report: LimitReport
     wait_ms: int
 
 
--- a/martenjunction/routing/picture.py
+++ b/martenjunction/routing/picture.py
@@ -14,7 +14,7 @@
 from martenjunction.routing import decision_log
 
 # Maximum number of unreadable entries remembered, so that each is logged once.
-MAX_FOREIGN = 256
+MAX_UNREADABLE = 256
 
 
 class Picture:
@@ -43,24 +43,24 @@
         self._log = log
         self._now = now
         self._config_spec = b""
-        self._config_from = ""
+        self._config_source = ""
         self._documents = config_documents.ConfigDocuments()
         self._entries: dict[str, tuple[revisions.Revision, bytes]] = {}
-        self._on_left: Callable[[list[str]], None] = lambda ids: None
+        self._on_removed: Callable[[list[str]], None] = lambda ids: None
         self._store_answers: bool | None = None
-        self._foreign: dict[str, bytes] = {}
-        self._unreadable = 0
-        self._store_returns = 0
+        self._unreadable_entries: dict[str, bytes] = {}
+        self._unreadable_count = 0
+        self._store_restores = 0
 
     @property
     def unreadable(self) -> int:
         """Number of unreadable entries and configurations so far."""
-        return self._unreadable
+        return self._unreadable_count
 
     @property
     def store_returns(self) -> int:
         """Number of restores of the store seen since this box started."""
-        return self._store_returns
+        return self._store_restores
 
     @property
     def version(self) -> int:
@@ -69,9 +69,9 @@
         return 0 if config is None else config.version
 
     @property
-    def config_from(self) -> str:
+    def config_source(self) -> str:
         """Source of the configuration in force: a box or a kind of read."""
-        return self._config_from
+        return self._config_source
 
     @property
     def documents(self) -> config_documents.ConfigDocuments:
@@ -89,9 +89,11 @@
         """Whether the store answered the last call."""
         return bool(self._store_answers)
 
-    def on_left(self, callback: Callable[[list[str]], None]) -> None:
+    def on_endpoints_removed(
+        self, callback: Callable[[list[str]], None]
+    ) -> None:
         """Sets the callback for endpoints that are no longer available."""
-        self._on_left = callback
+        self._on_removed = callback
 
     def take_config(self, spec: bytes, asked_at: float, source: str) -> None:
         """Applies a configuration that was the newest when it was requested.
@@ -108,7 +110,7 @@
         try:
             version = self.take_newer_config(spec, source)
         except errors.PlatformError as error:
-            self._note_foreign(documents.CONFIG_NAME, spec, error)
+            self._note_unreadable(documents.CONFIG_NAME, spec, error)
             return
         if version < self.version:
             self._log.write(
@@ -120,7 +122,7 @@
             return
         self._freshness.confirm(asked_at)
 
-    def take_view(
+    def apply_view(
         self,
         changed: list[tuple[str, revisions.Revision, bytes]],
         ready: tuple[str, ...],
@@ -138,8 +140,8 @@
         if revision < self._listed.revision:
             return
         self._check_era(revision, source)
-        entries, left = self._decode_all(changed)
-        left += self._listed.take_view(
+        entries, removed = self._decode_all(changed)
+        removed += self._listed.take_view(
             entries, set(ready), revision, self._now()
         )
         for name, entry_revision, spec in changed:
@@ -154,7 +156,7 @@
             count=len(self._listed.entries),
             source=source,
         )
-        self._tell_left(left, revision, source)
+        self._report_removed(removed, revision, source)
 
     def take_newer_config(self, spec: bytes, source: str) -> int:
         """Applies a configuration unless a newer one is in force.
@@ -174,8 +176,8 @@
         config = documents.decode_config(spec)
         if self._admitter.put_in_force(config):
             self._config_spec = spec
-            self._config_from = source
-            self._documents.keep(config.version, spec)
+            self._config_source = source
+            self._documents.add(config.version, spec)
             behind_s = self._freshness.caught_up(config.version, self._now())
             self._log.write(
                 "config-in-force",
@@ -187,7 +189,7 @@
             )
         return config.version
 
-    def take_endpoints(
+    def apply_listing(
         self,
         objects: list[tuple[str, revisions.Revision, bytes]],
         revision: revisions.Revision,
@@ -203,8 +205,8 @@
         if revision < self._listed.revision:
             return
         self._check_era(revision, source)
-        entries, left = self._decode_all(objects)
-        left += self._listed.take_listing(entries, revision, self._now())
+        entries, removed = self._decode_all(objects)
+        removed += self._listed.take_listing(entries, revision, self._now())
         self._entries = {i: (r, spec) for i, r, spec in objects}
         self._log.write(
             "endpoints-listed",
@@ -213,34 +215,34 @@
             count=len(entries),
             source=source,
         )
-        self._tell_left(left, revision, source)
+        self._report_removed(removed, revision, source)
 
-    def take_endpoint_change(self, change: store.Change) -> None:
+    def apply_endpoint_change(self, change: store.Change) -> None:
         """Applies a change of one endpoint's entry."""
         name, revision = change.object.name, change.object.revision
         if change.deleted:
             # A deletion applies even if the entry is unreadable.
-            left = self._listed.take_end(name, revision, self._now())
+            removed = self._listed.take_end(name, revision, self._now())
             self._entries.pop(name, None)
-            self._foreign.pop(name, None)
+            self._unreadable_entries.pop(name, None)
             self._log_endpoint(name, "gone", revision)
         else:
-            entries, left = self._decode_all(
+            entries, removed = self._decode_all(
                 [(name, revision, change.object.spec)]
             )
             for endpoint, _ in entries:
-                left += self._listed.take_change(endpoint, revision)
+                removed += self._listed.take_change(endpoint, revision)
                 self._entries[name] = (revision, change.object.spec)
                 self._log_endpoint(endpoint.id, endpoint.state.value, revision)
         self._listed.advance(revision)
-        self._tell_left(left, revision, "store")
+        self._report_removed(removed, revision, "store")
 
     def _check_era(self, revision: revisions.Revision, source: str) -> None:
         """Handles a restore of the store since the last list or view."""
         known = self._listed.revision
         if not self._listed.known or revision.era <= known.era:
             return
-        self._store_returns += 1
+        self._store_restores += 1
         self._log.write(
             "store-restored",
             era=revision.era,
@@ -284,7 +286,7 @@
         now = self._now()
         age = self._freshness.age_s(now)
         self._listed.store_returned(now, 0.0 if age is None else age)
-        self._note_store(True, "")
+        self._update_store_state(True, "")
 
     def store_failed(self, why: str) -> None:
         """Records that a call to the store failed.
@@ -293,34 +295,34 @@
             why: The reason, for the log.
         """
         self._listed.store_lost()
-        self._note_store(False, why)
+        self._update_store_state(False, why)
 
     def expire(self) -> None:
         """Drops entries that lapsed during an outage and did not return."""
         gone = self._listed.expire(self._now())
         if gone:
             self._log.write("endpoints-lapsed", endpoints=gone)
-            self._on_left(gone)
+            self._on_removed(gone)
 
-    def _note_store(self, answers: bool, why: str) -> None:
+    def _update_store_state(self, answers: bool, why: str) -> None:
         if answers is not self._store_answers:
             self._store_answers = answers
             self._log.write(
                 "store-regained" if answers else "store-lost", why=why
             )
 
-    def _tell_left(
-        self, left: list[str], revision: revisions.Revision, source: str
+    def _report_removed(
+        self, removed: list[str], revision: revisions.Revision, source: str
     ) -> None:
-        if left:
+        if removed:
             self._log.write(
                 "endpoints-left",
-                endpoints=left,
+                endpoints=removed,
                 era=revision.era,
                 revision=revision.number,
                 via=source,
             )
-            self._on_left(left)
+            self._on_removed(removed)
 
     def _decode_all(
         self, objects: list[tuple[str, revisions.Revision, bytes]]
@@ -332,28 +334,28 @@
             endpoints whose entries became unreadable.
         """
         decoded: list[tuple[model.Endpoint, revisions.Revision]] = []
-        ended: list[str] = []
+        removed: list[str] = []
         for name, revision, spec in objects:
             try:
                 decoded.append(
                     (documents.decode_endpoint(name, spec), revision)
                 )
             except errors.PlatformError as error:
-                self._note_foreign(name, spec, error)
-                ended += self._listed.take_foreign(name, revision)
+                self._note_unreadable(name, spec, error)
+                removed += self._listed.take_foreign(name, revision)
                 self._entries.pop(name, None)
             else:
-                self._foreign.pop(name, None)
-        return decoded, ended
+                self._unreadable_entries.pop(name, None)
+        return decoded, removed
 
-    def _note_foreign(
+    def _note_unreadable(
         self, name: str, spec: bytes, error: errors.PlatformError
     ) -> None:
         """Logs and counts an unreadable entry once per change."""
-        if self._foreign.get(name) == spec:
+        if self._unreadable_entries.get(name) == spec:
             return
-        if len(self._foreign) >= MAX_FOREIGN:
-            self._foreign.clear()
-        self._foreign[name] = spec
-        self._unreadable += 1
+        if len(self._unreadable_entries) >= MAX_UNREADABLE:
+            self._unreadable_entries.clear()
+        self._unreadable_entries[name] = spec
+        self._unreadable_count += 1
         self._log.write("entry-unreadable", entry=name, why=str(error))
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -20,19 +20,19 @@
 
 # Seconds for which this box sends nothing to an endpoint whose holder did not
 # answer.
-NO_ANSWER_PAUSE_S = 0.25
+NO_ANSWER_BACKOFF_S = 0.25
 
 # Maximum number of times a message is forwarded. In a large fleet the first box
 # asked is usually not the holder, but a box that hears it.
-MOST_HOPS = 2
+MAX_HOPS = 2
 
 # Maximum number of forwarded messages awaiting an answer, and of buckets.
-MAX_PASSED_ON = 1024
+MAX_FORWARDED = 1024
 MAX_BUCKETS = 1024
 
 # Seconds after which an unused bucket is removed; a new one starts empty.
 BUCKET_LIFETIME_S = 10.0
-LOOK_INTERVAL_S = 1.0
+CLEANUP_INTERVAL_S = 1.0
 
 MS = 0.001
 
@@ -43,11 +43,11 @@
 
     Attributes:
         endpoint_id: The endpoint.
-        giver: The box that granted it; None if the endpoint has no limit.
+        granter: The box that granted it; None if the endpoint has no limit.
     """
 
     endpoint_id: str
-    giver: str | None = None
+    granter: str | None = None
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,7 +55,7 @@
     """The token bucket of an endpoint and the time of its last use."""
 
     grants: grant_bucket.GrantBucket
-    asked_at: float
+    used_at: float
 
 
 class RateGrants:
@@ -68,50 +68,52 @@
     def __init__(
         self,
         book: endpoint_book.EndpointBook,
-        words: limit_sync.LimitSync,
+        sync: limit_sync.LimitSync,
         peers: hub.PeerHub,
         members: membership.Membership,
-        heard: Callable[[], list[membership.Member]],
+        responsive_peers: Callable[[], list[membership.Member]],
         clock: timers.Timers,
     ) -> None:
         """Initializes the grants; `start` subscribes to peer messages.
 
         Args:
             book: Holds the endpoints' limits.
-            words: Synchronizes the limits between boxes.
+            sync: Synchronizes the limits between boxes.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
-            heard: Returns the live boxes with a recent status.
+            responsive_peers: Returns the live boxes with a recent status.
             clock: The clock and timers.
         """
         self._limits = book.limits
-        self._words = words
+        self._limit_sync = sync
         self._peers = peers
-        self._selector = holders.HolderSelector(members, heard)
+        self._selector = holders.HolderSelector(members, responsive_peers)
         self._timers = clock
         self._buckets: dict[str, _Bucket] = {}
-        self._asked: dict[int, asyncio.Future[peer_messages.GrantAnswer]] = {}
-        self._passed_on: dict[int, tuple[str, int]] = {}
-        self._last = 0
-        self._refused = 0
-        self._given = 0
+        self._pending: dict[int, asyncio.Future[peer_messages.GrantAnswer]] = {}
+        self._forwarded: dict[int, tuple[str, int]] = {}
+        self._last_number = 0
+        self._denied = 0
+        self._granted = 0
 
     @property
     def refused(self) -> int:
         """Number of requests of this box that were denied."""
-        return self._refused
+        return self._denied
 
     @property
     def given(self) -> int:
         """Number of requests granted by this box, for itself and others."""
-        return self._given
+        return self._granted
 
     def start(self) -> None:
         """Subscribes to peer messages and timers."""
         self._peers.subscribe(peer_messages.AskGrant, self._on_ask)
         self._peers.subscribe(peer_messages.GrantAnswer, self._on_answer)
         self._peers.subscribe(peer_messages.GrantUnused, self._on_unused)
-        self._timers.subscribe("rate-grants", LOOK_INTERVAL_S, self._forget)
+        self._timers.subscribe(
+            "rate-grants", CLEANUP_INTERVAL_S, self._remove_unused_buckets
+        )
 
     def holder(self, endpoint_id: str) -> str:
         """Returns the box that grants requests, as known to this box."""
@@ -143,28 +145,28 @@
         if self._limits.per_s(endpoint_id) is None:
             return RateGrant(endpoint_id)
         if not self._limits.is_open(endpoint_id, self._timers.now()):
-            self._refused += 1
+            self._denied += 1
             return None
         holder = self.holder(endpoint_id)
         if holder == self._selector.own_box:
-            wait_s = self._give(endpoint_id)
+            wait_s = self._grant(endpoint_id)
         else:
             wait_s = await self._ask(holder, endpoint_id)
         self._limits.close(endpoint_id, self._timers.now() + wait_s)
         if wait_s:
-            self._refused += 1
+            self._denied += 1
             return None
         return RateGrant(endpoint_id, holder)
 
     def put_back(self, grant: RateGrant) -> None:
         """Returns an unused grant, as its request was not sent."""
-        if grant.giver == self._selector.own_box:
-            self._put_back(grant.endpoint_id)
-        elif grant.giver is not None:
+        if grant.granter == self._selector.own_box:
+            self._refund(grant.endpoint_id)
+        elif grant.granter is not None:
             unused = peer_messages.GrantUnused(grant.endpoint_id, 0)
-            self._peers.send(grant.giver, unused)
+            self._peers.send(grant.granter, unused)
 
-    def _give(self, endpoint_id: str) -> float:
+    def _grant(self, endpoint_id: str) -> float:
         """Grants or denies a request, as the holder.
 
         Returns:
@@ -180,62 +182,62 @@
                 del self._buckets[next(iter(self._buckets))]
             bucket = _Bucket(grant_bucket.GrantBucket(now), now)
             self._buckets[endpoint_id] = bucket
-        bucket.asked_at = now
+        bucket.used_at = now
         wait_s = bucket.grants.take(
-            limit, self._selector.heard_part(endpoint_id), now
+            limit, self._selector.reachable_fraction(endpoint_id), now
         )
-        self._given += not wait_s
+        self._granted += not wait_s
         return wait_s
 
-    def _put_back(self, endpoint_id: str) -> None:
+    def _refund(self, endpoint_id: str) -> None:
         bucket = self._buckets.get(endpoint_id)
         if bucket is not None:
             bucket.grants.put_back()
 
     async def _ask(self, holder: str, endpoint_id: str) -> float:
-        """Requests a grant from another box; returns the same as `_give`."""
-        answered: asyncio.Future[peer_messages.GrantAnswer] = (
+        """Requests a grant from another box; returns the same as `_grant`."""
+        response: asyncio.Future[peer_messages.GrantAnswer] = (
             asyncio.get_running_loop().create_future()
         )
-        number = self._next()
-        self._asked[number] = answered
+        number = self._next_number()
+        self._pending[number] = response
         # Only one grant request is in flight per endpoint; meanwhile other
         # requests of this box are sent to other endpoints.
         self._limits.close(endpoint_id, self._timers.now() + ANSWER_LIMIT_S)
-        question = peer_messages.AskGrant(
-            number, self._words.word(endpoint_id), 0
+        message = peer_messages.AskGrant(
+            number, self._limit_sync.report(endpoint_id), 0
         )
         try:
-            if self._peers.send(holder, question):
-                await asyncio.wait([answered], timeout=ANSWER_LIMIT_S)
+            if self._peers.send(holder, message):
+                await asyncio.wait([response], timeout=ANSWER_LIMIT_S)
         finally:
-            del self._asked[number]
-        if not answered.done():
-            return NO_ANSWER_PAUSE_S
-        return answered.result().wait_ms * MS
+            del self._pending[number]
+        if not response.done():
+            return NO_ANSWER_BACKOFF_S
+        return response.result().wait_ms * MS
 
-    def _next(self) -> int:
-        self._last += 1
-        return self._last
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
     def _on_ask(self, box: str, ask: peer_messages.AskGrant) -> None:
-        endpoint_id = ask.word.endpoint
-        self._words.take(box, ask.word)
+        endpoint_id = ask.report.endpoint
+        self._limit_sync.merge(box, ask.report)
         holder = self.holder(endpoint_id)
         if holder == self._selector.own_box:
-            self._answer(box, ask.number, endpoint_id, self._give(endpoint_id))
+            self._answer(box, ask.number, endpoint_id, self._grant(endpoint_id))
             return
-        if ask.hops < MOST_HOPS and holder != box:
-            number = self._next()
-            onward = peer_messages.AskGrant(
-                number, self._words.word(endpoint_id), ask.hops + 1
+        if ask.hops < MAX_HOPS and holder != box:
+            number = self._next_number()
+            forwarded = peer_messages.AskGrant(
+                number, self._limit_sync.report(endpoint_id), ask.hops + 1
             )
-            if self._peers.send(holder, onward):
-                while len(self._passed_on) >= MAX_PASSED_ON:
-                    del self._passed_on[next(iter(self._passed_on))]
-                self._passed_on[number] = (box, ask.number)
+            if self._peers.send(holder, forwarded):
+                while len(self._forwarded) >= MAX_FORWARDED:
+                    del self._forwarded[next(iter(self._forwarded))]
+                self._forwarded[number] = (box, ask.number)
                 return
-        self._answer(box, ask.number, endpoint_id, NO_ANSWER_PAUSE_S)
+        self._answer(box, ask.number, endpoint_id, NO_ANSWER_BACKOFF_S)
 
     def _answer(
         self, box: str, number: int, endpoint_id: str, wait_s: float
@@ -245,23 +247,25 @@
         self._peers.send(
             box,
             peer_messages.GrantAnswer(
-                number, self._words.word(endpoint_id), wait_ms
+                number, self._limit_sync.report(endpoint_id), wait_ms
             ),
         )
 
     def _on_answer(self, box: str, answer: peer_messages.GrantAnswer) -> None:
-        self._words.take(box, answer.word)
-        passed_on = self._passed_on.pop(answer.number, None)
-        if passed_on is not None:
-            asker, number = passed_on
-            word = self._words.word(answer.word.endpoint)
-            onward = peer_messages.GrantAnswer(number, word, answer.wait_ms)
-            self._peers.send(asker, onward)
+        self._limit_sync.merge(box, answer.report)
+        origin = self._forwarded.pop(answer.number, None)
+        if origin is not None:
+            requester, number = origin
+            report = self._limit_sync.report(answer.report.endpoint)
+            forwarded = peer_messages.GrantAnswer(
+                number, report, answer.wait_ms
+            )
+            self._peers.send(requester, forwarded)
             return
-        waiting = self._asked.get(answer.number)
+        waiting = self._pending.get(answer.number)
         if waiting is None:
             if not answer.wait_ms:
-                unused = peer_messages.GrantUnused(answer.word.endpoint, 0)
+                unused = peer_messages.GrantUnused(answer.report.endpoint, 0)
                 self._peers.send(box, unused)
         elif not waiting.done():
             waiting.set_result(answer)
@@ -269,18 +273,18 @@
     def _on_unused(self, box: str, unused: peer_messages.GrantUnused) -> None:
         holder = self.holder(unused.endpoint)
         if holder == self._selector.own_box:
-            self._put_back(unused.endpoint)
-        elif unused.hops < MOST_HOPS and holder != box:
+            self._refund(unused.endpoint)
+        elif unused.hops < MAX_HOPS and holder != box:
             self._peers.send(
                 holder,
                 dataclasses.replace(unused, hops=unused.hops + 1),
             )
 
-    def _forget(self) -> None:
+    def _remove_unused_buckets(self) -> None:
         now = self._timers.now()
         for endpoint_id in [
             i
             for i, bucket in self._buckets.items()
-            if now - bucket.asked_at > BUCKET_LIFETIME_S
+            if now - bucket.used_at > BUCKET_LIFETIME_S
         ]:
             del self._buckets[endpoint_id]
--- a/martenjunction/routing/suspect_news.py
+++ b/martenjunction/routing/suspect_news.py
@@ -33,7 +33,7 @@
 
 
 def decode(
-    news: peer_messages.Suspects,
+    message: peer_messages.Suspects,
 ) -> Iterator[tuple[request_content.ContentKey, suspicion.Suspicion]]:
     """Yields the key and the record of each request in a message.
 
@@ -41,17 +41,17 @@
     count or generation below its minimum, or a name that is too long.
     """
     rows = zip(
-        news.callers,
-        news.contents,
-        news.services,
-        news.epochs,
-        news.ends,
-        news.generations,
-        news.builds,
-        news.tries,
-        news.quarantined,
-        news.releases,
-        news.outlived,
+        message.callers,
+        message.contents,
+        message.services,
+        message.epochs,
+        message.ends,
+        message.generations,
+        message.builds,
+        message.tries,
+        message.quarantined,
+        message.releases,
+        message.outlived,
         strict=False,
     )
     for row in rows:
--- a/martenjunction/routing/suspect_sync.py
+++ b/martenjunction/routing/suspect_sync.py
@@ -14,9 +14,9 @@
 
 # Maximum number of suspected requests sent on a new connection, by descending
 # weight. A larger number would saturate links of low bandwidth.
-TOLD_TO_NEW = 64
+MAX_ON_CONNECT = 64
 
-Take = Callable[
+MergeSuspicion = Callable[
     [str, request_content.ContentKey, suspicion.Suspicion],
     suspect_table.Suspect | None,
 ]
@@ -31,7 +31,7 @@
         table: suspect_table.SuspectTable,
         peers: hub.PeerHub,
         members: membership.Membership,
-        take: Take,
+        merge: MergeSuspicion,
     ) -> None:
         """Initializes the exchange; `start` subscribes to peer messages.
 
@@ -39,15 +39,15 @@
             table: The suspected requests that this box knows.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
-            take: Merges another box's record of a request; returns the result
+            merge: Merges another box's record of a request; returns the result
                 if it changed.
         """
         self._table = table
         self._peers = peers
         self._members = members
-        self._take = take
-        self._untold: _Batch = {}
-        self._to_pass_on: _Batch = {}
+        self._merge = merge
+        self._pending: _Batch = {}
+        self._pending_forwards: _Batch = {}
 
     def start(self, emitter: events.Events) -> None:
         """Subscribes to peer messages and new connections.
@@ -55,14 +55,14 @@
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.Suspects, self._on_news)
-        emitter.connect(events.PEER_CONNECTED, self._greet)
+        self._peers.subscribe(peer_messages.Suspects, self._on_suspects)
+        emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
-    def tell(self, suspect: suspect_table.Suspect) -> None:
+    def announce(self, suspect: suspect_table.Suspect) -> None:
         """Schedules a change for broadcast in this event loop iteration."""
-        if not self._untold:
-            asyncio.get_running_loop().call_soon(self._broadcast, self._untold)
-        self._untold[suspect.key] = suspect
+        if not self._pending:
+            asyncio.get_running_loop().call_soon(self._broadcast, self._pending)
+        self._pending[suspect.key] = suspect
 
     def pass_on(self) -> None:
         """Forwards pending changes to boxes that their sender may not reach.
@@ -71,32 +71,32 @@
         would take one message per link of the fleet for each of the requests
         that were running at an endpoint when it ended.
         """
-        self._broadcast(self._to_pass_on)
+        self._broadcast(self._pending_forwards)
 
     def _broadcast(self, batch: _Batch) -> None:
         if batch:
             self._peers.broadcast(suspect_news.encode(batch.values()))
             batch.clear()
 
-    def _greet(self, box: str) -> None:
+    def _on_connected(self, box: str) -> None:
         """Sends the suspected requests to a newly connected box."""
         known = [s for s in self._table if s.held.generation]
         known.sort(key=suspect_table.weight, reverse=True)
         if known:
-            self._peers.send(box, suspect_news.encode(known[:TOLD_TO_NEW]))
+            self._peers.send(box, suspect_news.encode(known[:MAX_ON_CONNECT]))
 
-    def _on_news(self, box: str, news: peer_messages.Suspects) -> None:
+    def _on_suspects(self, box: str, message: peer_messages.Suspects) -> None:
         linked = len(self._peers.boxes()) + 1
-        passes_on = linked < len(self._members.believed())
+        should_forward = linked < len(self._members.believed())
         outdated = []
-        for key, held in suspect_news.decode(news):
-            changed = self._take(box, key, held)
+        for key, held in suspect_news.decode(message):
+            changed = self._merge(box, key, held)
             known = self._table.find(key)
             if changed is None:
                 if known is not None and held.epoch < known.held.epoch:
                     outdated.append(known)
-            elif passes_on:
-                self._to_pass_on[key] = changed
+            elif should_forward:
+                self._pending_forwards[key] = changed
         if outdated:
             # Without the current epoch, ends that the sender records would be
             # ignored by all other boxes.
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/suspects.py
@@ -26,16 +26,16 @@
 
 # Seconds for which a run that broke off waits for proof that its endpoint has
 # ended: a restarted endpoint rewrites its entry within some seconds.
-UNSURE_S = 8.0
-MAX_UNSURE = 256
+UNCONFIRMED_LIFETIME_S = 8.0
+MAX_UNCONFIRMED = 256
 
 # Interval in seconds of checks of those runs and of expired records.
-LOOK_INTERVAL_S = 0.1
+CHECK_INTERVAL_S = 0.1
 
 # Maximum fraction of its remaining time for which a request waits for a trial
 # of the same content. It is then refused, as sending it would send all requests
 # that began to wait at the same time at once.
-MOST_WAIT_PART = 0.5
+MAX_WAIT_FRACTION = 0.5
 
 # Status and error code of the answer to a quarantined request.
 QUARANTINED_STATUS = 503
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Unsure:
+class _UnconfirmedEnd:
     """A run that broke off and whose endpoint may have ended.
 
     Attributes:
@@ -73,7 +73,7 @@
         clock: timers.Timers,
         emitter: events.Events,
         log: decision_log.DecisionLog,
-        heard: Callable[[], list[membership.Member]],
+        responsive_peers: Callable[[], list[membership.Member]],
     ) -> None:
         """Initializes the quarantine; `start` subscribes to peer messages.
 
@@ -85,34 +85,34 @@
             clock: The clock and timers.
             emitter: Announces new connections to boxes.
             log: Records changes of suspected requests.
-            heard: Returns the live boxes with a recent status.
+            responsive_peers: Returns the live boxes with a recent status.
         """
         self._listed = listed
         self._timers = clock
         self._events = emitter
         self._log = log
         self._table = suspect_table.SuspectTable()
-        self._unsure: collections.deque[_Unsure] = collections.deque(
-            maxlen=MAX_UNSURE
+        self._unconfirmed: collections.deque[_UnconfirmedEnd] = (
+            collections.deque(maxlen=MAX_UNCONFIRMED)
         )
         self._running_trials: list[tuple[float, permits.Permit]] = []
         self._waiting: dict[
             request_content.ContentKey, set[asyncio.Future[None]]
         ] = {}
         self._sync = suspect_sync.SuspectSync(
-            self._table, peers, members, self._take
+            self._table, peers, members, self._merge
         )
         self._trials = trial_grants.TrialGrants(
             self._table,
             peers,
-            holders.HolderSelector(members, heard),
+            holders.HolderSelector(members, responsive_peers),
             clock,
             self._decide_trial,
-            self._take,
+            self._merge,
             self._end_trial,
         )
         self._refused = 0
-        ends.on_ended(self._settle_unsure)
+        ends.on_ended(self._confirm_end)
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
@@ -133,7 +133,7 @@
         """Subscribes to peer messages and timers."""
         self._sync.start(self._events)
         self._trials.start()
-        self._timers.subscribe("suspects", LOOK_INTERVAL_S, self._look)
+        self._timers.subscribe("suspects", CHECK_INTERVAL_S, self._check)
 
     async def permit(
         self,
@@ -155,9 +155,9 @@
             RefusalError: If the request is quarantined or its wait timed out.
         """
         began = self._timers.now()
-        until = began + (deadline - began) * MOST_WAIT_PART
+        until = began + (deadline - began) * MAX_WAIT_FRACTION
         while True:
-            builds = self._builds(service, key)
+            builds = self._ready_builds(service, key)
             ruling = self._table.judge(key, builds, self._timers.now())
             if ruling.verdict is suspect_table.Verdict.QUARANTINED:
                 self._refuse(ruling.again_s)
@@ -216,7 +216,7 @@
             self._log.write(
                 "request-cleared", content=str(permit.key), why="answered"
             )
-            self._tell(cleared)
+            self._announce(cleared)
 
     def note_end(
         self, permit: permits.Permit, endpoint: model.Endpoint
@@ -232,14 +232,18 @@
             now,
         )
         if changed is not None:
-            self._write("request-suspected", changed, endpoint=endpoint.id)
-            self._tell(changed)
+            self._log_suspect(
+                "request-suspected", changed, endpoint=endpoint.id
+            )
+            self._announce(changed)
 
     def note_unsure(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
         """Records that a run broke off and its endpoint may have ended."""
-        self._unsure.append(_Unsure(permit, endpoint, self._timers.now()))
+        self._unconfirmed.append(
+            _UnconfirmedEnd(permit, endpoint, self._timers.now())
+        )
 
     def end_trial(self, permit: permits.Permit) -> None:
         """Records that a trial was inconclusive."""
@@ -262,7 +266,7 @@
             if cleared is None:
                 return False
             self._log.write("request-cleared", content=name, why="operator")
-            self._tell(cleared)
+            self._announce(cleared)
             return True
         return False
 
@@ -287,8 +291,8 @@
             return trial_grants.TrialRuling(False, ruling.again_s)
         suspect = self._table.begin_trial(key, now)
         if suspect is not None:
-            self._write("request-tried", suspect)
-            self._tell(suspect)
+            self._log_suspect("request-tried", suspect)
+            self._announce(suspect)
         return trial_grants.TrialRuling(True)
 
     def _end_trial(self, key: request_content.ContentKey, trial: int) -> None:
@@ -304,7 +308,7 @@
             again_s,
         )
 
-    def _builds(
+    def _ready_builds(
         self, service: model.Service, key: request_content.ContentKey
     ) -> frozenset[str]:
         """Returns a service's ready builds; empty unless quarantined."""
@@ -318,27 +322,29 @@
         self, key: request_content.ContentKey, wait_s: float
     ) -> None:
         """Waits until a request's record changes or the timeout expires."""
-        news: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        waiter: asyncio.Future[None] = (
+            asyncio.get_running_loop().create_future()
+        )
         waiting = self._waiting.setdefault(key, set())
-        waiting.add(news)
+        waiting.add(waiter)
         try:
-            await asyncio.wait([news], timeout=wait_s)
+            await asyncio.wait([waiter], timeout=wait_s)
         finally:
-            waiting.discard(news)
+            waiting.discard(waiter)
             if not waiting:
                 self._waiting.pop(key, None)
 
     def _wake(self, key: request_content.ContentKey) -> None:
-        for news in self._waiting.get(key, ()):
-            if not news.done():
-                news.set_result(None)
+        for waiter in self._waiting.get(key, ()):
+            if not waiter.done():
+                waiter.set_result(None)
 
-    def _tell(self, suspect: suspect_table.Suspect) -> None:
+    def _announce(self, suspect: suspect_table.Suspect) -> None:
         """Wakes requests waiting in this box and notifies all boxes."""
         self._wake(suspect.key)
-        self._sync.tell(suspect)
+        self._sync.announce(suspect)
 
-    def _take(
+    def _merge(
         self,
         box: str,
         key: request_content.ContentKey,
@@ -349,24 +355,27 @@
         if changed is not None:
             cleared = not changed.held.generation
             kind = "request-cleared" if cleared else "request-suspected"
-            self._write(kind, changed, told_by=box)
+            self._log_suspect(kind, changed, told_by=box)
             self._wake(key)
         return changed
 
-    def _settle_unsure(self, endpoint_id: str) -> None:
+    def _confirm_end(self, endpoint_id: str) -> None:
         """Records a confirmed end for runs that broke off at the endpoint."""
-        for run in list(self._unsure):
+        for run in list(self._unconfirmed):
             if run.endpoint.id == endpoint_id:
-                self._unsure.remove(run)
+                self._unconfirmed.remove(run)
                 run.permit.ended(run.endpoint)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._timers.now()
-        while self._unsure and now - self._unsure[0].at > UNSURE_S:
-            self._unsure.popleft()
-        for run in list(self._unsure):
+        while (
+            self._unconfirmed
+            and now - self._unconfirmed[0].at > UNCONFIRMED_LIFETIME_S
+        ):
+            self._unconfirmed.popleft()
+        for run in list(self._unconfirmed):
             if self._listed.restarted(run.endpoint.id):
-                self._settle_unsure(run.endpoint.id)
+                self._confirm_end(run.endpoint.id)
         self._report_outlived_trials()
         self._table.forget(now)
         self._sync.pass_on()
@@ -387,10 +396,10 @@
                 continue
             suspect = self._table.note_outlived(permit.key, permit.ruling.epoch)
             if suspect is not None:
-                self._write("request-outlived", suspect)
-                self._tell(suspect)
+                self._log_suspect("request-outlived", suspect)
+                self._announce(suspect)
 
-    def _write(
+    def _log_suspect(
         self, kind: str, suspect: suspect_table.Suspect, **fields: Any
     ) -> None:
         needed = self._table.ends_needed(suspect, self._timers.now())
--- a/martenjunction/routing/trial_grants.py
+++ b/martenjunction/routing/trial_grants.py
@@ -23,7 +23,7 @@
 
 # Maximum number of times a message is forwarded. In a large fleet the first box
 # asked is usually not the holder, but a box that hears it.
-MOST_HOPS = 2
+MAX_HOPS = 2
 
 MS = 0.001
 
@@ -44,7 +44,7 @@
 DecideTrial = Callable[
     [request_content.ContentKey, frozenset[str]], TrialRuling
 ]
-TakeSuspicion = Callable[
+MergeSuspicion = Callable[
     [str, request_content.ContentKey, suspicion.Suspicion], Any
 ]
 EndTrial = Callable[[request_content.ContentKey, int], None]
@@ -65,7 +65,7 @@
         selector: holders.HolderSelector,
         clock: timers.Timers,
         decide: DecideTrial,
-        take: TakeSuspicion,
+        merge: MergeSuspicion,
         end: EndTrial,
     ) -> None:
         """Initializes the grants; `start` subscribes to peer messages.
@@ -76,7 +76,7 @@
             selector: Selects the holder of a request.
             clock: The clock and timers.
             decide: Grants or denies a trial, as the holder.
-            take: Merges another box's record of a request.
+            merge: Merges another box's record of a request.
             end: Ends an inconclusive trial, as the holder.
         """
         self._table = table
@@ -84,10 +84,10 @@
         self._selector = selector
         self._timers = clock
         self._decide = decide
-        self._take = take
+        self._merge = merge
         self._end = end
-        self._asked: dict[int, asyncio.Future[peer_messages.TrialAnswer]] = {}
-        self._last = 0
+        self._pending: dict[int, asyncio.Future[peer_messages.TrialAnswer]] = {}
+        self._last_number = 0
         self._relay_tasks: set[asyncio.Task[None]] = set()
 
     def start(self) -> None:
@@ -114,7 +114,7 @@
             if holder == self._selector.own_box:
                 break
             ruling = await self._ask(
-                holder, key, builds, MOST_HOPS if unresponsive else 0
+                holder, key, builds, MAX_HOPS if unresponsive else 0
             )
             if ruling is not None:
                 return ruling
@@ -144,40 +144,40 @@
         suspect = self._table.find(key)
         if suspect is None:
             return TrialRuling(False)
-        self._last += 1
-        number = self._last
-        answered: asyncio.Future[peer_messages.TrialAnswer] = (
+        self._last_number += 1
+        number = self._last_number
+        response: asyncio.Future[peer_messages.TrialAnswer] = (
             asyncio.get_running_loop().create_future()
         )
-        self._asked[number] = answered
-        question = peer_messages.AskTrial(
+        self._pending[number] = response
+        message = peer_messages.AskTrial(
             number, suspect_news.encode([suspect]), tuple(sorted(builds)), hops
         )
         try:
-            if not self._peers.send(holder, question):
+            if not self._peers.send(holder, message):
                 return None
-            await self._wait(answered)
+            await self._wait(response)
         finally:
-            del self._asked[number]
-        if not answered.done():
+            del self._pending[number]
+        if not response.done():
             return None
-        answer = answered.result()
+        answer = response.result()
         return TrialRuling(answer.granted, answer.wait_ms * MS)
 
-    async def _wait(self, answered: asyncio.Future[Any]) -> None:
+    async def _wait(self, response: asyncio.Future[Any]) -> None:
         until = self._timers.listened() + ANSWER_LIMIT_S
-        while not answered.done():
+        while not response.done():
             left_s = until - self._timers.listened()
             if left_s <= 0.0:
                 return
-            await asyncio.wait([answered], timeout=left_s)
+            await asyncio.wait([response], timeout=left_s)
 
     def _on_ask(self, box: str, ask: peer_messages.AskTrial) -> None:
         for key, held in suspect_news.decode(ask.suspect):
-            self._take(box, key, held)
+            self._merge(box, key, held)
             holder = self._selector.holder(str(key))
             own = holder == self._selector.own_box
-            if own or ask.hops >= MOST_HOPS or holder == box:
+            if own or ask.hops >= MAX_HOPS or holder == box:
                 self._answer(box, ask, key, self._decide_for(ask, key))
             else:
                 self._relay(box, ask, key, holder)
@@ -228,9 +228,9 @@
         )
 
     def _on_answer(self, box: str, answer: peer_messages.TrialAnswer) -> None:
-        waiting = self._asked.get(answer.number)
+        waiting = self._pending.get(answer.number)
         for key, held in suspect_news.decode(answer.suspect):
-            self._take(box, key, held)
+            self._merge(box, key, held)
             if answer.granted and waiting is None:
                 # Nobody waits for the answer any more: release the trial.
                 self.report_over(key, held.tries)
@@ -242,6 +242,6 @@
         holder = self._selector.holder(str(key))
         if holder == self._selector.own_box:
             self._end(key, over.trial)
-        elif over.hops < MOST_HOPS and holder != box:
+        elif over.hops < MAX_HOPS and holder != box:
             forwarded = dataclasses.replace(over, hops=over.hops + 1)
             self._peers.send(holder, forwarded)
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -18,7 +18,7 @@
 ENDPOINT = "e1"
 
 # Event loop iterations in which a message travels two hops and its answer back.
-PASSES = 12
+ITERATIONS = 12
 STEP_S = 0.02
 
 
@@ -96,9 +96,9 @@
             name: Box(self, node, members)
             for name, node in self.linked.nodes.items()
         }
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
 
-    def hear(self, box: str, per_s: float | None) -> None:
+    def report_limit(self, box: str, per_s: float | None) -> None:
         """Simulates an answer to a box that contains a limit."""
         self.boxes[box].limits.say(ENDPOINT, per_s, self.now)
 
@@ -106,25 +106,25 @@
         """Lets randomly chosen boxes request grants."""
         until = self.now + seconds
         names = list(self.boxes)
-        owed = 0.0
+        pending_asks = 0.0
         while self.now < until:
             self.now += STEP_S
-            owed += asks_per_s * STEP_S
-            asking = []
-            while owed >= 1.0:
-                owed -= 1.0
-                asking.append(self.boxes[self.draw.choice(names)])
-            questions = [
+            pending_asks += asks_per_s * STEP_S
+            requesters = []
+            while pending_asks >= 1.0:
+                pending_asks -= 1.0
+                requesters.append(self.boxes[self.rng.choice(names)])
+            asks = [
                 asyncio.ensure_future(box.grants.take(ENDPOINT))
-                for box in asking
+                for box in requesters
             ]
             await self.settle()
-            for question in questions:
-                assert question.done()
-                if question.result() is not None:
+            for ask in asks:
+                assert ask.done()
+                if ask.result() is not None:
                     self.sends.append(self.now)
 
     async def settle(self) -> None:
         """Runs the event loop until all messages are delivered."""
-        for _ in range(PASSES):
+        for _ in range(ITERATIONS):
             await asyncio.sleep(0)
--- a/tests/limited_replicas.py
+++ b/tests/limited_replicas.py
@@ -6,7 +6,7 @@
 from martenjunction_lab import replica
 
 
-class Limited(replica.Replica):
+class LimitedReplica(replica.Replica):
     """A replica that announces a rate limit in its answers."""
 
     limit: str | None = "1"
@@ -19,9 +19,9 @@
 
 async def start(
     fleet: boxes.Boxes, service: str, count: int, limit: str = "1"
-) -> list[Limited]:
+) -> list[LimitedReplica]:
     """Starts and returns replicas of a service that announce a limit."""
-    made = [Limited(f"i-{number}") for number in range(1, count + 1)]
+    made = [LimitedReplica(f"i-{number}") for number in range(1, count + 1)]
     for one in made:
         one.limit = limit
         await one.start()
@@ -31,7 +31,7 @@
     return made
 
 
-def say(fleet: boxes.Boxes, made: Limited, limit: float) -> None:
+def say(fleet: boxes.Boxes, made: LimitedReplica, limit: float) -> None:
     """Reports a limit to all boxes as if the replica had announced it."""
     for box in fleet.gateways:
         box.limits.say(made.id, limit, time.monotonic())
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -65,15 +65,15 @@
     # from its peers.
     known = freshness()
     judge = admitter(known)
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     known.heard_of(8, 0.0)
     late = SERVED_S + 0.1
     with pytest.raises(admission.RefusalError) as refusal:
         judge.admit(facts(), "/safe/x", late)
     assert refusal.value.status == 503
     assert refusal.value.retry_after is not None
-    assert judge.still_allowed(taken, 0.0, SERVED_S)
-    assert not judge.still_allowed(taken, 0.0, late)
+    assert judge.still_allowed(admitted, 0.0, SERVED_S)
+    assert not judge.still_allowed(admitted, 0.0, late)
 
 
 @pytest.mark.parametrize(
@@ -91,51 +91,51 @@
     # Guards against ignoring a change of the route that takes effect while a
     # request waits in its box, which was observed to take up to 0.9 s.
     judge = admitter(freshness())
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8, **changes))
-    assert not judge.still_allowed(taken, 0.0, 0.5)
+    assert not judge.still_allowed(admitted, 0.0, 0.5)
 
 
 def test_request_that_waited_goes_on_where_its_route_stands() -> None:
     judge = admitter(freshness())
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8))
-    assert judge.still_allowed(taken, 0.0, 0.5)
+    assert judge.still_allowed(admitted, 0.0, 0.5)
 
 
 # Deltas between configuration documents.
 
 
-def kept(*versions: int) -> config_documents.ConfigDocuments:
+def make_documents(*versions: int) -> config_documents.ConfigDocuments:
     made = config_documents.ConfigDocuments()
     for version in versions:
-        made.keep(version, spread.document(version, 60))
+        made.add(version, spread.document(version, 60))
     return made
 
 
 def test_box_that_lacks_few_changes_gets_the_difference() -> None:
-    news = kept(5, 6, 7).news_for(6)
-    assert news is not None
-    assert (news.version, news.base) == (7, 6)
-    assert kept(6).document_in(news) == spread.document(7, 60)
-    assert kept(5).document_in(news) is None
+    update = make_documents(5, 6, 7).update_for(6)
+    assert update is not None
+    assert (update.version, update.base) == (7, 6)
+    assert make_documents(6).apply(update) == spread.document(7, 60)
+    assert make_documents(5).apply(update) is None
 
 
 def test_box_that_lacks_many_changes_gets_the_whole_document() -> None:
-    news = kept(*range(1, 9)).news_for(2)
-    assert news is not None
-    assert news.base == config_documents.NO_BASE
-    assert kept().document_in(news) == spread.document(8, 60)
-    assert kept(8).news_for(8) is None
+    update = make_documents(*range(1, 9)).update_for(2)
+    assert update is not None
+    assert update.base == config_documents.NO_BASE
+    assert make_documents().apply(update) == spread.document(8, 60)
+    assert make_documents(8).update_for(8) is None
 
 
 def test_difference_from_another_document_of_that_version_is_refused() -> None:
-    news = kept(5, 6).news_for(5)
-    assert news is not None
+    update = make_documents(5, 6).update_for(5)
+    assert update is not None
     other = config_documents.ConfigDocuments()
-    other.keep(5, spread.document(5, 61))
+    other.add(5, spread.document(5, 61))
     with pytest.raises(config_documents.errors.PeerError):
-        other.document_in(news)
+        other.apply(update)
 
 
 async def test_news_count_whoever_brings_them_and_whenever(
@@ -145,16 +145,16 @@
     await boxes.until(lambda: box.picture.version == 7)
     spec = spread.document(9, 3)
     newer = config_documents.ConfigDocuments()
-    newer.keep(9, spec)
-    news = newer.news_for(0)
-    assert news is not None
-    broken = dataclasses.replace(news, difference=b"rubbish")
-    box.sync._on_config_news("box-2", broken)
+    newer.add(9, spec)
+    update = newer.update_for(0)
+    assert update is not None
+    broken = dataclasses.replace(update, delta=b"rubbish")
+    box.sync._on_config_update("box-2", broken)
     assert box.picture.version == 7
-    box.sync._on_config_news("box-2", news)
+    box.sync._on_config_update("box-2", update)
     assert box.picture.version == 9
     stale = peer_messages.ConfigNews(8, 0, 0, b"")
-    box.sync._on_config_news("box-2", stale)
+    box.sync._on_config_update("box-2", stale)
     assert box.picture.version == 9
 
 
@@ -171,16 +171,16 @@
         return True
 
     monkeypatch.setattr(box.sync._peers, "send", send)
-    other = kept(7, 8)
-    news = other.news_for(7)
-    assert news is not None
-    box.sync._on_config_news("box-2", news)
+    other = make_documents(7, 8)
+    update = other.update_for(7)
+    assert update is not None
+    box.sync._on_config_update("box-2", update)
     assert [message.version for message in asked] == [0]
-    whole = other.news_for(0)
+    whole = other.update_for(0)
     assert whole is not None
-    box.sync._on_config_news("box-2", whole)
+    box.sync._on_config_update("box-2", whole)
     assert box.picture.version == 8
-    box.sync._ask("box-3")
+    box.sync._query("box-3")
     assert asked[-1].version == 8
 
 
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -12,20 +12,20 @@
 ENDPOINT = limited_fleet.ENDPOINT
 
 
-async def told(per_s: float) -> limited_fleet.LimitedBoxes:
+async def fleet_with_limit(per_s: float) -> limited_fleet.LimitedBoxes:
     fleet = limited_fleet.LimitedBoxes()
-    fleet.hear("box-0", per_s)
+    fleet.report_limit("box-0", per_s)
     await fleet.settle()
     return fleet
 
 
 async def test_all_boxes_hear_of_a_limit_and_of_its_end() -> None:
-    fleet = await told(2.0)
+    fleet = await fleet_with_limit(2.0)
     limits = [box.book.limits for box in fleet.boxes.values()]
     assert {known.per_s(ENDPOINT) for known in limits} == {2.0}
     assert fleet.linked.sent <= fleet.linked.links
     fleet.now += 1.0
-    fleet.hear("box-40", None)
+    fleet.report_limit("box-40", None)
     await fleet.settle()
     assert {known.per_s(ENDPOINT) for known in limits} == {None}
 
@@ -34,7 +34,7 @@
 async def test_a_large_fleet_keeps_to_a_limit_and_uses_half_of_it(
     limit: float,
 ) -> None:
-    fleet = await told(limit)
+    fleet = await fleet_with_limit(limit)
     before = fleet.linked.sent
     seconds = 12.0
     await fleet.run(seconds, asks_per_s=120.0)
@@ -44,12 +44,12 @@
     # Each box gets at most one denial per longest turn, and a message and its
     # answer travel at most the maximum number of hops.
     asked = linked_boxes.BOXES / grant_bucket.LONGEST_TURN_S + limit
-    hops = 2 * (1 + rate_grants.MOST_HOPS)
+    hops = 2 * (1 + rate_grants.MAX_HOPS)
     assert fleet.linked.sent - before <= seconds * asked * hops
 
 
 async def test_boxes_that_lose_the_holder_ask_the_next() -> None:
-    fleet = await told(20.0)
+    fleet = await fleet_with_limit(20.0)
     holders = {box.grants.holder(ENDPOINT) for box in fleet.boxes.values()}
     final = {h for h in holders if fleet.boxes[h].grants.holder(ENDPOINT) == h}
     assert len(final) == 1
@@ -61,7 +61,7 @@
 
 
 async def test_grant_that_was_not_used_reaches_the_holder_again() -> None:
-    fleet = await told(2.0)
+    fleet = await fleet_with_limit(2.0)
     fleet.now += 10.0
     for box in fleet.boxes.values():
         holder = box.grants.holder(ENDPOINT)
@@ -80,7 +80,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(rate_grants, "ANSWER_LIMIT_S", 0.01)
-    fleet = await told(2.0)
+    fleet = await fleet_with_limit(2.0)
     asker, holder = next(
         (box, box.grants.holder(ENDPOINT))
         for name, box in fleet.boxes.items()
@@ -100,7 +100,7 @@
 ) -> None:
     # This happens if the holder or the asking box is suspended meanwhile.
     monkeypatch.setattr(rate_grants, "ANSWER_LIMIT_S", 0.01)
-    fleet = await told(2.0)
+    fleet = await fleet_with_limit(2.0)
     asker, holder = next(
         (box, fleet.boxes[box.grants.holder(ENDPOINT)])
         for box in fleet.boxes.values()
@@ -127,7 +127,7 @@
 async def test_box_that_holds_old_news_learns_of_the_end_from_the_holder() -> (
     None
 ):
-    fleet = await told(2.0)
+    fleet = await fleet_with_limit(2.0)
     fleet.now += 1.0
     for name, box in fleet.boxes.items():
         if name != "box-3":
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -37,7 +37,7 @@
         ruling = self.table.judge(KEY, frozenset(), 0.0)
         changed = self.table.note_end(KEY, SERVICE, endpoint, ruling, "v1", 0.0)
         assert changed is not None
-        self.sync.tell(changed)
+        self.sync.announce(changed)
 
 
 class Fleet:
@@ -94,7 +94,7 @@
         ruling = node.table.judge(key, frozenset(), 0.0)
         changed = node.table.note_end(key, SERVICE, "e1", ruling, "v1", 0.0)
         assert changed is not None
-        node.sync.tell(changed)
+        node.sync.announce(changed)
     for _ in range(8):
         await fleet.round()
     assert all(len(node.table) == at_once for node in nodes)
--- a/tests/test_suspect_trials.py
+++ b/tests/test_suspect_trials.py
@@ -358,10 +358,10 @@
     ruling = suspect_table.Ruling(suspect_table.Verdict.FREE)
     changed = table.note_end(KEY, builders.PLAIN, "e1", ruling, "v1", 0.0)
     assert changed is not None
-    news = suspect_news.encode([changed])
+    message = suspect_news.encode([changed])
     batch = [
-        peer_messages.AskTrial(3, news, ("v1",), 1),
-        peer_messages.TrialAnswer(3, True, 1, news),
+        peer_messages.AskTrial(3, message, ("v1",), 1),
+        peer_messages.TrialAnswer(3, True, 1, message),
         peer_messages.TrialOver(KEY.caller, KEY.content, 2, 0),
     ]
     assert codec.decode_batch(codec.encode_batch(batch)) == batch
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -42,7 +42,7 @@
     )
 
 
-async def broken_under(
+async def quarantine_request(
     fleet: boxes.Boxes, path: str = "/unsafe/"
 ) -> request_content.ContentKey:
     """Ends endpoints during runs of a request until it is quarantined."""
@@ -86,7 +86,7 @@
 async def test_quarantined_request_gets_a_final_answer_that_is_true(
     fleet: boxes.Boxes,
 ) -> None:
-    await broken_under(fleet)
+    await quarantine_request(fleet)
     before = requests.arrivals(fleet.replicas)
     head, body = await requests.ask(fleet, "/unsafe/", "again")
     assert (head.status, body) == (503, suspects.QUARANTINED_CODE.encode())
@@ -99,7 +99,7 @@
 
 
 async def test_operator_sees_and_lifts_it(fleet: boxes.Boxes) -> None:
-    key = await broken_under(fleet)
+    key = await quarantine_request(fleet)
     box = fleet.gateways[0]
     address = f"127.0.0.1:{box._settings.metrics_port}"
     dump = await boxes.call_json(address, "/dump")
@@ -118,7 +118,7 @@
 
 
 async def test_new_software_is_tried_where_it_runs(fleet: boxes.Boxes) -> None:
-    await broken_under(fleet)
+    await quarantine_request(fleet)
     mended = await fleet.add_replica(builders.PLAIN)
     fleet.record(mended, builders.PLAIN, version="v2")
     box = fleet.gateways[0]
@@ -139,7 +139,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     await fleet.add_box("box-2")
-    key = await broken_under(fleet)
+    key = await quarantine_request(fleet)
     await fleet.add_box("box-3")
 
     def known(box: int) -> bool:
