--- a/martenjunction/routing/peer_messages.py
+++ b/martenjunction/routing/peer_messages.py
@@ -296,7 +296,7 @@
 @codec.message("suspects", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspects:
-    """Records of suspected requests, during which endpoints ended.
+    """Records of suspected requests, during which endpoints crashed.
 
     See `decisions.boxes.suspicion`; the fields have an item for each request.
 
@@ -305,7 +305,7 @@
         contents: Digests of the request contents.
         services: The services.
         epochs: Number of times each request was cleared.
-        ends: Ids of the endpoints that ended during it since then.
+        crashes: Ids of the endpoints that crashed during it since then.
         generations: The generation of each of those runs.
         builds: Builds of those endpoints.
         tries: Number of trials.
@@ -318,7 +318,7 @@
     contents: tuple[bytes, ...]
     services: tuple[str, ...]
     epochs: tuple[int, ...]
-    ends: tuple[tuple[str, ...], ...]
+    crashes: tuple[tuple[str, ...], ...]
     generations: tuple[tuple[int, ...], ...]
     builds: tuple[tuple[str, ...], ...]
     tries: tuple[int, ...]
--- a/martenjunction/routing/suspect_news.py
+++ b/martenjunction/routing/suspect_news.py
@@ -45,7 +45,7 @@
         message.contents,
         message.services,
         message.epochs,
-        message.ends,
+        message.crashes,
         message.generations,
         message.builds,
         message.tries,
@@ -55,7 +55,7 @@
         strict=False,
     )
     for row in rows:
-        caller, content, service, epoch, ends, generations = row[:6]
+        caller, content, service, epoch, crashes, generations = row[:6]
         builds, tries, quarantined, releases, outlived = row[6:]
         if len(caller) != request_content.CALLER_BYTES:
             continue
@@ -66,7 +66,7 @@
             or min(generations, default=1) < 1
         ):
             continue
-        if any(len(name) > MAX_NAME for name in (service, *ends, *builds)):
+        if any(len(name) > MAX_NAME for name in (service, *crashes, *builds)):
             continue
         key = request_content.ContentKey(caller, content)
         yield (
@@ -74,7 +74,7 @@
             suspicion.Suspicion(
                 service,
                 epoch,
-                dict(zip(ends, generations, strict=False)),
+                dict(zip(crashes, generations, strict=False)),
                 frozenset(builds),
                 tries,
                 quarantined,
--- a/martenjunction/routing/suspect_sync.py
+++ b/martenjunction/routing/suspect_sync.py
@@ -69,7 +69,7 @@
 
         To be called a few times per second. Forwarding each change separately
         would take one message per link of the fleet for each of the requests
-        that were running at an endpoint when it ended.
+        that were running at an endpoint when it crashed.
         """
         self._broadcast(self._pending_forwards)
 
@@ -98,6 +98,6 @@
             elif should_forward:
                 self._pending_forwards[key] = changed
         if outdated:
-            # Without the current epoch, ends that the sender records would be
-            # ignored by all other boxes.
+            # Without the current epoch, crashes that the sender records would
+            # be ignored by all other boxes.
             self._peers.send(box, suspect_news.encode(outdated))
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Quarantines requests that repeatedly make endpoints end."""
+"""Quarantines requests that repeatedly crash endpoints."""
 
 import asyncio
 import collections
@@ -24,8 +24,8 @@
 from martenjunction.routing import suspect_sync
 from martenjunction.routing import trial_grants
 
-# Seconds for which a run that broke off waits for proof that its endpoint has
-# ended: a restarted endpoint rewrites its entry within some seconds.
+# Seconds for which a run that broke off waits for proof that its endpoint
+# crashed: a restarted endpoint rewrites its entry within some seconds.
 UNCONFIRMED_LIFETIME_S = 8.0
 MAX_UNCONFIRMED = 256
 
@@ -43,8 +43,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _UnconfirmedEnd:
-    """A run that broke off and whose endpoint may have ended.
+class _UnconfirmedCrash:
+    """A run that broke off and whose endpoint may have crashed.
 
     Attributes:
         permit: The run's permit.
@@ -58,10 +58,11 @@
 
 
 class Suspects:
-    """Decides which requests one box may send, based on endpoints' ends.
+    """Decides which requests one box may send after crashes of endpoints.
 
-    A request during which an endpoint ended is suspected: it runs as one trial
-    at a time across the fleet, and is quarantined after further ends.
+    A request during which an endpoint crashed is suspected: usually only one
+    trial of it runs at a time across the fleet, and it is quarantined after
+    further crashes.
     """
 
     def __init__(
@@ -79,7 +80,7 @@
 
         Args:
             listed: The endpoints.
-            ends: Detects whether endpoints have ended.
+            ends: Detects whether endpoints have crashed.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
             clock: The clock and timers.
@@ -92,7 +93,7 @@
         self._events = emitter
         self._log = log
         self._table = suspect_table.SuspectTable()
-        self._unconfirmed: collections.deque[_UnconfirmedEnd] = (
+        self._unconfirmed: collections.deque[_UnconfirmedCrash] = (
             collections.deque(maxlen=MAX_UNCONFIRMED)
         )
         self._running_trials: list[tuple[float, permits.Permit]] = []
@@ -112,7 +113,7 @@
             self._end_trial,
         )
         self._refused = 0
-        ends.on_ended(self._confirm_end)
+        ends.on_ended(self._confirm_crash)
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
@@ -199,7 +200,7 @@
         return permits.Permit(self, key, service, trial_ruling)
 
     def stands(self, permit: permits.Permit) -> bool:
-        """Returns whether no end was recorded since a permit was issued."""
+        """Returns whether no crash was recorded since a permit was issued."""
         suspect = self._table.find(permit.key)
         if suspect is None:
             return True
@@ -221,7 +222,7 @@
     def note_end(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Records that an endpoint ended during a run."""
+        """Records that an endpoint crashed during a run."""
         now = self._timers.now()
         changed = self._table.note_end(
             permit.key,
@@ -240,9 +241,9 @@
     def note_unsure(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Records that a run broke off and its endpoint may have ended."""
+        """Records that a run broke off and its endpoint may have crashed."""
         self._unconfirmed.append(
-            _UnconfirmedEnd(permit, endpoint, self._timers.now())
+            _UnconfirmedCrash(permit, endpoint, self._timers.now())
         )
 
     def end_trial(self, permit: permits.Permit) -> None:
@@ -304,7 +305,7 @@
         raise admission.RefusalError(
             QUARANTINED_STATUS,
             QUARANTINED_CODE,
-            "quarantined: several endpoints ended during this request",
+            "quarantined: several endpoints crashed during this request",
             again_s,
         )
 
@@ -359,8 +360,8 @@
             self._wake(key)
         return changed
 
-    def _confirm_end(self, endpoint_id: str) -> None:
-        """Records a confirmed end for runs that broke off at the endpoint."""
+    def _confirm_crash(self, endpoint_id: str) -> None:
+        """Records a confirmed crash for runs that broke off at the endpoint."""
         for run in list(self._unconfirmed):
             if run.endpoint.id == endpoint_id:
                 self._unconfirmed.remove(run)
@@ -375,7 +376,7 @@
             self._unconfirmed.popleft()
         for run in list(self._unconfirmed):
             if self._listed.restarted(run.endpoint.id):
-                self._confirm_end(run.endpoint.id)
+                self._confirm_crash(run.endpoint.id)
         self._report_outlived_trials()
         self._table.forget(now)
         self._sync.pass_on()
--- a/tests/ending_table.py
+++ b/tests/ending_table.py
@@ -1,4 +1,4 @@
-"""Runs trials in which endpoints end because of requests or independently.
+"""Runs trials in which endpoints crash, because of requests or by themselves.
 
     python -m tests.ending_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_box_lags_until_it_has_what_it_heard_of() -> None:
+def test_box_lags_until_it_has_the_newest_version() -> None:
     known = freshness()
     assert known.heard_of(8, 1.0)
     assert not known.heard_of(8, 1.5)
@@ -46,7 +46,7 @@
     assert not known.lags(100.0)
 
 
-def test_what_only_a_box_knew_that_is_gone_keeps_none_from_serving() -> None:
+def test_version_known_only_to_a_lost_box_does_not_stop_serving() -> None:
     known = freshness()
     known.heard_of(9, 0.0)
     known.nobody_has(above=8)
@@ -59,7 +59,7 @@
     return made
 
 
-def test_box_that_lags_refuses_what_a_change_may_have_taken_away() -> None:
+def test_lagging_box_refuses_requests() -> None:
     # Guards against serving requests with revoked keys: unless keys fail
     # closed, nothing else stops a box that has lagged for seconds and knows it
     # from its peers.
@@ -85,7 +85,7 @@
     ],
     ids=["route gone", "route moved", "key gone"],
 )
-def test_request_that_waited_is_judged_by_the_change(
+def test_waiting_request_is_checked_against_the_new_configuration(
     changes: dict[str, object],
 ) -> None:
     # Guards against ignoring a change of the route that takes effect while a
@@ -96,7 +96,7 @@
     assert not judge.still_allowed(admitted, 0.0, 0.5)
 
 
-def test_request_that_waited_goes_on_where_its_route_stands() -> None:
+def test_waiting_request_proceeds_if_its_route_is_unchanged() -> None:
     judge = admitter(freshness())
     admitted = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8))
@@ -113,7 +113,7 @@
     return made
 
 
-def test_box_that_lacks_few_changes_gets_the_difference() -> None:
+def test_box_that_lacks_few_changes_gets_a_delta() -> None:
     update = make_documents(5, 6, 7).update_for(6)
     assert update is not None
     assert (update.version, update.base) == (7, 6)
@@ -121,7 +121,7 @@
     assert make_documents(5).apply(update) is None
 
 
-def test_box_that_lacks_many_changes_gets_the_whole_document() -> None:
+def test_box_that_lacks_many_changes_gets_the_full_document() -> None:
     update = make_documents(*range(1, 9)).update_for(2)
     assert update is not None
     assert update.base == config_documents.NO_BASE
@@ -129,7 +129,7 @@
     assert make_documents(8).update_for(8) is None
 
 
-def test_difference_from_another_document_of_that_version_is_refused() -> None:
+def test_delta_to_another_document_of_that_version_is_rejected() -> None:
     update = make_documents(5, 6).update_for(5)
     assert update is not None
     other = config_documents.ConfigDocuments()
@@ -138,7 +138,7 @@
         other.apply(update)
 
 
-async def test_news_count_whoever_brings_them_and_whenever(
+async def test_newer_configuration_is_applied_from_any_peer(
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
@@ -158,7 +158,7 @@
     assert box.picture.version == 9
 
 
-async def test_box_whose_document_differs_asks_for_the_whole_one(
+async def test_box_whose_document_differs_requests_the_full_one(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against requesting a delta to a document that the box lacks.
@@ -184,7 +184,7 @@
     assert asked[-1].version == 8
 
 
-async def test_box_that_lags_says_that_it_is_not_ready(
+async def test_lagging_box_reports_that_it_is_not_ready(
     fleet: boxes.Boxes,
 ) -> None:
     await requests.two_plain(fleet)
@@ -210,7 +210,7 @@
     assert widest.first
 
 
-def test_large_documents_are_asked_for_less_often_over_thin_links() -> None:
+def test_large_documents_are_read_less_often_over_slow_links() -> None:
     pause = store_readers.confirm_interval_s
     assert pause(15_000, 625_000.0) == store_readers.CONFIRM_INTERVAL_S
     assert pause(370_000, 12_500_000.0) == store_readers.CONFIRM_INTERVAL_S
--- a/tests/test_ending_requests.py
+++ b/tests/test_ending_requests.py
@@ -1,11 +1,11 @@
-"""Requests that make endpoints end and are sent repeatedly.
+"""Requests that crash endpoints and are sent repeatedly.
 
-Guards against a request that ends one endpoint after the other: with six boxes
-and five engines, one request ended ten engines in 13 seconds and another one
-twelve. The client resends it with a new id to another box, which does not know
-of the earlier ends, and a box that may retry it sends it to the next engine as
-soon as the first has ended. After the third end, three more arrivals are
-tolerated from the time when all boxes can know of it.
+Guards against a request that crashes one endpoint after the other: with six
+boxes and five engines, one request crashed ten engines in 13 seconds and
+another one twelve. The client resends it with a new id to another box, which
+does not know of the earlier crashes, and a box that may retry it sends it to
+the next engine as soon as the first has crashed. After the third crash, three
+more arrivals are tolerated from the time when all boxes can know of it.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 from martenjunction_lab import ending_requests
 from tests import routing_builders as builders
 
-# Number of arrivals tolerated after the third end is known.
+# Number of arrivals tolerated after the third crash is known.
 MOST_LATE = 3
 
 SHORT = ending_requests.Trial(seconds=6.0, back_s=1.0)
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("word", [Word.LEAVING, Word.LEAVING_THEN_REFUSING])
-async def test_endpoint_that_says_that_it_leaves_gets_no_more_work(
+async def test_endpoint_that_announces_leaving_gets_no_more_work(
     word: Word,
 ) -> None:
     _, seen = await play(SHORT, word=word)
@@ -47,7 +47,7 @@
     assert seen.served >= 0.99 * seen.sent
 
 
-async def test_endpoint_that_started_again_gets_work_again() -> None:
+async def test_restarted_endpoint_gets_work_again() -> None:
     fleet, seen = await play(SHORT, back_at_s=2.0)
     assert seen.late_from_told == 0
     assert seen.barred == 0
@@ -88,7 +88,7 @@
         ("/chat/", Behaviour.SERVE),
     ],
 )
-async def test_any_answer_tells_it(
+async def test_any_answer_can_announce_leaving(
     fleet: boxes.Boxes, path: str, behaviour: Behaviour
 ) -> None:
     service = builders.ENGINE if path == "/chat/" else builders.PLAIN
@@ -100,14 +100,14 @@
     assert not fleet.gateways[0].listed.may_send(made.id)
 
 
-async def test_health_check_tells_it(fleet: boxes.Boxes) -> None:
+async def test_health_check_can_announce_leaving(fleet: boxes.Boxes) -> None:
     made = await leaver(fleet, builders.PLAIN)
     box = fleet.gateways[0]
     await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
     assert not box.listed.may_send(made.id)
 
 
-async def test_another_endpoint_at_its_address_does_not_tell_it(
+async def test_announcement_of_another_endpoint_is_ignored(
     fleet: boxes.Boxes,
 ) -> None:
     made = await leaver(fleet, builders.PLAIN)
@@ -117,7 +117,7 @@
     assert fleet.gateways[0].listed.may_send(made.id)
 
 
-async def test_request_that_waits_for_a_connection_is_judged_again(
+async def test_request_that_waits_for_a_connection_is_routed_again(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     await requests.begin_at_one_that_changes(
--- a/tests/test_leaving_spread.py
+++ b/tests/test_leaving_spread.py
@@ -26,7 +26,7 @@
     return made
 
 
-def test_own_word_holds_though_the_entry_says_ready() -> None:
+def test_announcement_overrides_a_ready_entry() -> None:
     known = listed()
     assert known.say_leaving("e1/1")
     assert not known.say_leaving("e1/1")
@@ -36,7 +36,7 @@
     assert known.ready_ids() == []
 
 
-def test_own_word_holds_though_the_entry_went_and_came_back() -> None:
+def test_announcement_outlives_a_removed_and_restored_entry() -> None:
     known = listed()
     known.say_leaving("e1/1")
     known.store_lost()
@@ -46,28 +46,28 @@
     assert known.ready_ids() == []
 
 
-def test_word_of_an_endpoint_that_is_listed_later_holds() -> None:
+def test_announcement_applies_to_an_endpoint_listed_later() -> None:
     known = endpoint_list.EndpointList()
     assert known.say_leaving("e1/1")
     known.take_listing([(start(1), rev(3))], rev(5), now=0.0)
     assert known.ready_ids() == []
 
 
-def test_endpoint_that_starts_again_has_said_nothing() -> None:
+def test_restarted_endpoint_is_available() -> None:
     known = listed()
     known.say_leaving("e1/1")
     known.take_change(start(2), rev(6))
     assert known.ready_ids() == ["e1/2"]
 
 
-def test_what_another_box_does_not_send_to_leaves() -> None:
+def test_endpoint_missing_from_a_peer_view_is_unavailable() -> None:
     known = listed()
     # Its entry is ready, but the sender of the view does not use it.
     known.take_view([(start(1), rev(9))], set(), rev(9), 1.0)
     assert known.ready_ids() == []
 
 
-def test_words_are_bounded() -> None:
+def test_number_of_announcements_is_bounded() -> None:
     known = listed()
     for number in range(2 * endpoint_list.MAX_LEAVING):
         known.say_leaving(f"e{number}")
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("tellers", [1, 20])
-async def test_all_boxes_hear_of_it_by_few_messages(tellers: int) -> None:
+async def test_all_boxes_learn_of_it_with_few_messages(tellers: int) -> None:
     fleet = Fleet()
     for name in list(fleet.syncs)[:tellers]:
         fleet.syncs[name].say_leaving("e1/1")
@@ -104,7 +104,7 @@
     assert fleet.linked.sent <= fleet.linked.links
 
 
-async def test_box_that_was_not_connected_is_told() -> None:
+async def test_newly_connected_box_is_notified() -> None:
     fleet = Fleet()
     fleet.lists["box-0"].say_leaving("e1/1")
     fleet.linked.nodes["box-0"].emitter.emit(events.PEER_CONNECTED, "box-1")
--- a/tests/test_limited_endpoints.py
+++ b/tests/test_limited_endpoints.py
@@ -59,14 +59,14 @@
     assert seen.served >= 0.99 * seen.sent
 
 
-async def test_endpoint_whose_limit_ends_gets_its_work_again() -> None:
+async def test_endpoint_gets_more_work_after_its_limit_ends() -> None:
     seen = await play(limit="1", ends_s=6.0, seconds=10.0)
     assert seen.broken == 0
     assert all(seen.work_after_end(2.0).values())
     assert seen.served >= 0.99 * seen.sent
 
 
-async def test_all_endpoints_of_a_service_may_name_limits() -> None:
+async def test_all_endpoints_of_a_service_may_announce_limits() -> None:
     seen = await play(tell_plain=SHORT.plain, tell_engines=0)
     assert seen.windows()
     assert seen.broken == 0
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -19,7 +19,7 @@
     return fleet
 
 
-async def test_all_boxes_hear_of_a_limit_and_of_its_end() -> None:
+async def test_all_boxes_learn_of_a_limit_and_of_its_end() -> None:
     fleet = await fleet_with_limit(2.0)
     limits = [box.book.limits for box in fleet.boxes.values()]
     assert {known.per_s(ENDPOINT) for known in limits} == {2.0}
@@ -60,7 +60,7 @@
     assert len(fleet.sends) >= 0.5 * 20.0 * 4.0
 
 
-async def test_grant_that_was_not_used_reaches_the_holder_again() -> None:
+async def test_unused_grant_is_returned_to_the_holder() -> None:
     fleet = await fleet_with_limit(2.0)
     fleet.now += 10.0
     for box in fleet.boxes.values():
@@ -76,7 +76,7 @@
     assert await asker.grants.take(ENDPOINT) is not None
 
 
-async def test_holder_that_does_not_answer_costs_little(
+async def test_unresponsive_holder_is_not_asked_again_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(rate_grants, "ANSWER_LIMIT_S", 0.01)
@@ -95,7 +95,7 @@
     assert fleet.linked.sent == before
 
 
-async def test_grant_that_comes_too_late_is_given_back(
+async def test_late_grant_is_returned_to_the_holder(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # This happens if the holder or the asking box is suspended meanwhile.
@@ -124,7 +124,7 @@
     assert await holder.grants.take(ENDPOINT) is None
 
 
-async def test_box_that_holds_old_news_learns_of_the_end_from_the_holder() -> (
+async def test_box_with_a_stale_limit_learns_of_its_end_from_the_holder() -> (
     None
 ):
     fleet = await fleet_with_limit(2.0)
--- a/tests/test_resting_endpoints.py
+++ b/tests/test_resting_endpoints.py
@@ -67,7 +67,7 @@
     assert set(seen.statuses) <= {200, 503}
 
 
-async def test_endpoint_whose_rest_is_over_gets_work_again() -> None:
+async def test_endpoint_gets_work_again_after_its_back_off() -> None:
     fleet, seen = await play(for_s=1.0, rest_s=1.0)
     assert seen.refusals
     assert seen.broken == 0
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -30,7 +30,9 @@
     await made.stop()
 
 
-async def go_back(fleet: boxes.Boxes, revisions: int) -> replica.Replica:
+async def restore_and_rewrite(
+    fleet: boxes.Boxes, revisions: int
+) -> replica.Replica:
     """Restores the store from a copy and repeats the endpoints' writes.
 
     Between the copy and the outage a box and an endpoint join.
@@ -63,10 +65,10 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_endpoint_that_leaves_then_gets_no_more_work(
+async def test_endpoint_that_drains_after_a_restore_gets_no_more_work(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    made = await go_back(fleet, revisions)
+    made = await restore_and_rewrite(fleet, revisions)
     fleet.record(made, builders.PLAIN, state="draining")
     await boxes.until(
         lambda: not any(box.listed.may_send(made.id) for box in fleet.gateways)
@@ -74,10 +76,10 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_endpoint_that_joins_then_gets_work(
+async def test_endpoint_that_joins_after_a_restore_gets_work(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    await go_back(fleet, revisions)
+    await restore_and_rewrite(fleet, revisions)
     made = await fleet.add_replica(builders.PLAIN)
     await boxes.until(
         lambda: all(box.listed.may_send(made.id) for box in fleet.gateways)
@@ -85,19 +87,19 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_configuration_that_is_written_then_is_in_force(
+async def test_configuration_written_after_a_restore_is_in_force(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    await go_back(fleet, revisions)
+    await restore_and_rewrite(fleet, revisions)
     fleet.configure(builders.config_document(9))
     await boxes.until(
         lambda: all(box.picture.version == 9 for box in fleet.gateways)
     )
 
 
-async def test_entry_of_a_box_that_the_copy_lacks_is_written_again(
+async def test_box_entry_missing_from_the_copy_is_written_again(
     fleet: boxes.Boxes,
 ) -> None:
-    await go_back(fleet, BETWEEN[0])
+    await restore_and_rewrite(fleet, BETWEEN[0])
     kind = "martenjunction-boxes"
     await boxes.until(lambda: fleet.store.find(kind, "box-late") is not None)
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -83,10 +83,10 @@
 
 
 @pytest.mark.parametrize("at_once", [1, 20])
-async def test_one_end_that_many_boxes_see_takes_few_messages(
+async def test_crash_seen_by_many_boxes_takes_few_messages(
     at_once: int,
 ) -> None:
-    # Each box had a run with its own content at the endpoint that ended.
+    # Each box had a run with its own content at the endpoint that crashed.
     fleet = Fleet()
     nodes = list(fleet.nodes.values())
     for number, node in enumerate(nodes[:at_once]):
@@ -102,7 +102,7 @@
     assert fleet.sent <= 4 * fleet.links
 
 
-async def test_quarantine_by_the_box_of_the_last_run_holds_for_all() -> None:
+async def test_quarantine_by_one_box_applies_to_all() -> None:
     fleet = Fleet()
     judge = fleet.nodes["box-80"]
     for number in range(50):
@@ -116,7 +116,7 @@
     assert all(node.known.quarantined for node in fleet.nodes.values())
 
 
-async def test_box_that_missed_a_clearing_is_told_of_it() -> None:
+async def test_box_that_missed_a_clearing_is_notified() -> None:
     fleet = Fleet()
     away = fleet.nodes["box-0"]
     for node in fleet.nodes.values():
--- a/tests/test_suspect_trials.py
+++ b/tests/test_suspect_trials.py
@@ -1,7 +1,7 @@
 """Trials of a suspected request run one at a time across the fleet.
 
 Guards against concurrent trials, begun by boxes that decide independently or
-by requests whose wait ends at the same time: each of them may end an endpoint.
+by requests whose wait ends at the same time. Each trial may crash an endpoint.
 """
 
 import asyncio
@@ -84,7 +84,7 @@
 
 
 async def make_suspected(fleet: boxes.Boxes) -> None:
-    """Ends an endpoint under the request and waits until all boxes know."""
+    """Crashes an endpoint during the request; waits until all boxes know."""
     first = await permit(fleet.gateways[0])
     at = dataclasses.replace(builders.endpoint("e1"), version="v1")
     first.ended(at)
@@ -119,7 +119,7 @@
     await asyncio.sleep(SETTLE_S)
     [first] = granted_permits(pending)
     assert first.apart
-    # Once the first trial's end is known, exactly one more may begin.
+    # Once the first trial's crash is known, exactly one more may begin.
     first.ended(builders.endpoint("e2"))
     await until_suspected(fleet, 2)
     await asyncio.sleep(SETTLE_S)
@@ -208,11 +208,11 @@
         trial.close()
 
 
-async def test_broken_trial_delays_the_next_until_the_end_is_known(
+async def test_broken_trial_delays_the_next_until_the_crash_is_known(
     fleet: boxes.Boxes,
 ) -> None:
     # Guards against starting the next trial between the moment a run breaks
-    # off and the confirmation that its endpoint has ended.
+    # off and the confirmation that its endpoint has crashed.
     await make_suspected(fleet)
     trial = await permit(fleet.gateways[1])
     trial.broken(builders.endpoint("e2"))
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests during which endpoints end, with one real box."""
+"""Quarantine of requests that crash endpoints, with one real box."""
 
 import asyncio
 import dataclasses
@@ -45,7 +45,7 @@
 async def quarantine_request(
     fleet: boxes.Boxes, path: str = "/unsafe/"
 ) -> request_content.ContentKey:
-    """Ends endpoints during runs of a request until it is quarantined."""
+    """Crashes endpoints during runs of a request until it is quarantined."""
     made = [await fleet.add_replica(builders.PLAIN) for _ in range(3)]
     await fleet.until_listed()
     for number in range(20):
@@ -83,7 +83,7 @@
     )
 
 
-async def test_quarantined_request_gets_a_final_answer_that_is_true(
+async def test_quarantined_request_is_refused_with_retry_after(
     fleet: boxes.Boxes,
 ) -> None:
     await quarantine_request(fleet)
@@ -98,7 +98,7 @@
     assert head.status == 200
 
 
-async def test_operator_sees_and_lifts_it(fleet: boxes.Boxes) -> None:
+async def test_operator_sees_and_lifts_a_quarantine(fleet: boxes.Boxes) -> None:
     key = await quarantine_request(fleet)
     box = fleet.gateways[0]
     address = f"127.0.0.1:{box._settings.metrics_port}"
@@ -117,7 +117,9 @@
     assert (await boxes.call_json(address, "/dump"))["suspects"] == []
 
 
-async def test_new_software_is_tried_where_it_runs(fleet: boxes.Boxes) -> None:
+async def test_quarantined_request_is_tried_on_a_new_build(
+    fleet: boxes.Boxes,
+) -> None:
     await quarantine_request(fleet)
     mended = await fleet.add_replica(builders.PLAIN)
     fleet.record(mended, builders.PLAIN, version="v2")
@@ -135,7 +137,7 @@
     assert only_suspect(fleet) is None
 
 
-async def test_other_boxes_and_a_later_one_know_of_it(
+async def test_quarantine_reaches_other_and_new_boxes(
     fleet: boxes.Boxes,
 ) -> None:
     await fleet.add_box("box-2")
@@ -149,7 +151,7 @@
     await boxes.until(lambda: known(1) and known(2))
 
 
-async def test_run_that_breaks_off_at_a_live_endpoint_is_no_end(
+async def test_run_that_breaks_off_at_a_live_endpoint_is_no_crash(
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
@@ -159,7 +161,7 @@
     assert only_suspect(fleet) is None
 
 
-async def test_endpoint_that_leaves_and_ends_is_no_end(
+async def test_end_of_a_draining_endpoint_is_no_crash(
     fleet: boxes.Boxes,
 ) -> None:
     [made] = [await fleet.add_replica(builders.PLAIN)]
@@ -175,7 +177,7 @@
     assert only_suspect(fleet) is None
 
 
-async def test_end_that_shows_by_the_next_start_counts(
+async def test_crash_detected_by_the_restart_counts(
     fleet: boxes.Boxes,
 ) -> None:
     # The port answers again before it is checked, so that only the rewritten
@@ -191,7 +193,7 @@
     await boxes.until(lambda: only_suspect(fleet) is not None)
 
 
-async def test_request_waits_for_a_trial_and_goes_on_as_it_ends(
+async def test_request_waits_until_a_trial_ends(
     fleet: boxes.Boxes,
 ) -> None:
     await requests.two_plain(fleet)
@@ -207,7 +209,7 @@
     assert not (await second).apart
 
 
-async def test_permit_does_not_stand_once_an_endpoint_ended(
+async def test_permit_is_invalid_after_a_crash(
     fleet: boxes.Boxes,
 ) -> None:
     await requests.two_plain(fleet)
@@ -218,7 +220,7 @@
     assert not two.stands()
 
 
-async def test_quarantine_is_refused_to_a_permit(fleet: boxes.Boxes) -> None:
+async def test_no_permit_is_issued_in_quarantine(fleet: boxes.Boxes) -> None:
     await requests.two_plain(fleet)
     key = request_content.ContentKey(b"c" * 8, b"q" * 16)
     for number in range(10):
