--- a/martenjunction/routing/holders.py
+++ b/martenjunction/routing/holders.py
@@ -8,12 +8,12 @@
 
 
 class HolderSelector:
-    """Selects the holder of a key from the boxes that this box hears.
+    """Selects the holder of a key from this box's responsive peers.
 
-    A box hears another one if it receives its status. Boxes that hear the same
-    set of boxes select the same holder. In a large fleet a box hears only a few
-    boxes of other availability zones. The box it selects there may not be the
-    holder, but hears more of that zone and can forward the request.
+    Boxes with the same set of responsive peers select the same holder. In a
+    large fleet a box exchanges its status with only a few boxes of other
+    availability zones. The box it selects there may not be the holder, but has
+    more peers in that zone and can forward the request.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
 
         Args:
             members: The boxes of the fleet.
-            responsive: Returns the other boxes that this box hears.
+            responsive: Returns the peers with a recent status.
         """
         self._members = members
         self._responsive_peers = responsive
@@ -51,7 +51,7 @@
         )
 
     def reachable_fraction(self, key: str) -> float:
-        """Returns the fraction of the candidate boxes that this box hears."""
+        """Returns the fraction of the candidate boxes that are responsive."""
         responsive = self._candidates(key, self._responsive_peers())
         own = self._members.own
         others = [m for m in self._members.believed() if m is not own]
@@ -62,8 +62,8 @@
     ) -> list[membership.Member]:
         """Returns the candidates for the holder among this box and others.
 
-        In a large fleet all candidates are in one availability zone: boxes
-        hear most of their own zone, but only a few boxes of other zones.
+        In a large fleet all candidates are in one availability zone: boxes have
+        most boxes of their own zone as peers, but only a few of other zones.
         """
         believed = self._members.believed()
         own = self._members.own
--- a/martenjunction/routing/peer_sync.py
+++ b/martenjunction/routing/peer_sync.py
@@ -188,7 +188,7 @@
         ]
 
     def heard(self) -> list[membership.Member]:
-        """Returns the live boxes from which a recent status was received."""
+        """Returns the live peers from which a recent status was received."""
         return [m for m in self._members.believed() if self._is_responsive(m)]
 
     def _on_status(self, box: str, status: peer_messages.BoxStatus) -> None:
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -23,7 +23,7 @@
 NO_ANSWER_BACKOFF_S = 0.25
 
 # Maximum number of times a message is forwarded. In a large fleet the first box
-# asked is usually not the holder, but a box that hears it.
+# asked is usually not the holder, but a peer of the holder.
 MAX_HOPS = 2
 
 # Maximum number of forwarded messages awaiting an answer, and of buckets.
@@ -81,7 +81,7 @@
             sync: Synchronizes the limits between boxes.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
-            responsive_peers: Returns the live boxes with a recent status.
+            responsive_peers: Returns the live peers with a recent status.
             clock: The clock and timers.
         """
         self._limits = book.limits
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/suspects.py
@@ -86,7 +86,7 @@
             clock: The clock and timers.
             emitter: Announces new connections to boxes.
             log: Records changes of suspected requests.
-            responsive_peers: Returns the live boxes with a recent status.
+            responsive_peers: Returns the live peers with a recent status.
         """
         self._listed = listed
         self._timers = clock
--- a/martenjunction/routing/trial_grants.py
+++ b/martenjunction/routing/trial_grants.py
@@ -22,7 +22,7 @@
 MAX_BOXES_ASKED = 2
 
 # Maximum number of times a message is forwarded. In a large fleet the first box
-# asked is usually not the holder, but a box that hears it.
+# asked is usually not the holder, but a peer of the holder.
 MAX_HOPS = 2
 
 MS = 0.001
--- a/tests/ending_table.py
+++ b/tests/ending_table.py
@@ -36,17 +36,19 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
+async def run_row(row: str, seed: int) -> str:
     """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = ending_requests.EndingFleet(trial)
-    seen = await fleet.run(builders.config_document())
+    outcome = await fleet.run(builders.config_document())
     return (
-        f"{row} seed {seed}: ended {seen.ended}, late {seen.late_arrivals},"
-        f" by themselves {seen.own_ends}, served {seen.served} of {seen.sent},"
-        f" alike {dict(seen.alike)}, shut out {seen.innocent_shut_out}"
+        f"{row} seed {seed}: ended {outcome.ended},"
+        f" late {outcome.late_arrivals},"
+        f" by themselves {outcome.own_ends},"
+        f" served {outcome.served} of {outcome.sent},"
+        f" alike {dict(outcome.alike)}, shut out {outcome.innocent_shut_out}"
     )
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/limit_table.py
+++ b/tests/limit_table.py
@@ -28,23 +28,23 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
+async def run_row(row: str, seed: int) -> str:
     """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = limited_endpoints.LimitedFleet(trial)
-    seen = await fleet.run(builders.patient_config_document())
-    parts = seen.windows()
-    used = " ".join(f"{part:.2f}" for part in seen.used().values())
-    longest_s = max((r.after_s for r in seen.refusals), default=0.0)
-    back_s = max((r.back_in_s or 0.0 for r in seen.refusals), default=0.0)
+    outcome = await fleet.run(builders.patient_config_document())
+    parts = outcome.windows()
+    used = " ".join(f"{part:.2f}" for part in outcome.used().values())
+    longest_s = max((r.after_s for r in outcome.refusals), default=0.0)
+    back_s = max((r.back_in_s or 0.0 for r in outcome.refusals), default=0.0)
     return (
-        f"{row} seed {seed}: broken {seen.broken} of {len(parts)} windows,"
+        f"{row} seed {seed}: broken {outcome.broken} of {len(parts)} windows,"
         f" most {max(parts, default=0.0):.2f}, used {used},"
-        f" served {seen.served} of {seen.sent} {dict(seen.statuses)},"
-        f" after the end {list(seen.work_after_end(2.0).values())},"
+        f" served {outcome.served} of {outcome.sent} {dict(outcome.statuses)},"
+        f" after the end {list(outcome.work_after_end(2.0).values())},"
         f" longest refusal {longest_s:.3f} s, back in {back_s:.2f} s at most"
     )
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/restore_table.py
+++ b/tests/restore_table.py
@@ -58,7 +58,7 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
+async def run_row(row: str, seed: int) -> str:
     """Runs one row with one seed and returns the line to print."""
     fleet = boxes.Boxes()
     try:
@@ -146,4 +146,4 @@
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/telling_table.py
+++ b/tests/telling_table.py
@@ -36,24 +36,24 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
+async def run_row(row: str, seed: int) -> str:
     """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(trial)
-    seen = await fleet.run(builders.patient_config_document())
-    work = seen.work_of_returned(fleet.names(trial_fleet.PLAIN))
+    outcome = await fleet.run(builders.patient_config_document())
+    work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     return (
-        f"{row} seed {seed}: late {seen.late_from_told} from told"
-        f" {seen.late_from_any} from any, rests {len(seen.refusals)}"
-        f" broken {seen.broken} most {max(seen.in_rest, default=0)},"
-        f" served {seen.served} of {seen.sent} {dict(seen.statuses)}"
-        f" {dict(seen.codes)},"
-        f" work of returned {work} barred {seen.barred},"
-        f" longest refusal {max(seen.refused_s, default=0.0):.3f} s,"
-        f" told to come back in {max(seen.back_in_s, default=0.0):.2f} s"
+        f"{row} seed {seed}: late {outcome.late_from_told} from told"
+        f" {outcome.late_from_any} from any, rests {len(outcome.refusals)}"
+        f" broken {outcome.broken} most {max(outcome.in_rest, default=0)},"
+        f" served {outcome.served} of {outcome.sent} {dict(outcome.statuses)}"
+        f" {dict(outcome.codes)},"
+        f" work of returned {work} barred {outcome.barred},"
+        f" longest refusal {max(outcome.refused_s, default=0.0):.3f} s,"
+        f" told to come back in {max(outcome.back_in_s, default=0.0):.2f} s"
         " at most"
     )
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/test_ending_requests.py
+++ b/tests/test_ending_requests.py
@@ -16,7 +16,7 @@
 from tests import routing_builders as builders
 
 # Number of arrivals tolerated after the third crash is known.
-MOST_LATE = 3
+MAX_LATE_ARRIVALS = 3
 
 SHORT = ending_requests.Trial(seconds=6.0, back_s=1.0)
 INNOCENT = dataclasses.replace(
@@ -24,11 +24,11 @@
 )
 
 
-async def play(
+async def run_trial(
     trial: ending_requests.Trial, **changes: object
 ) -> ending_requests.Outcome:
-    played = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
-    fleet = ending_requests.EndingFleet(played)
+    changed_trial = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
+    fleet = ending_requests.EndingFleet(changed_trial)
     return await fleet.run(builders.config_document())
 
 
@@ -46,21 +46,21 @@
 async def test_request_that_ends_endpoints_is_stopped(
     changes: dict[str, object],
 ) -> None:
-    seen = await play(SHORT, **changes)
-    assert seen.ended >= ending_requests.KNOWN_AFTER
-    assert seen.late_arrivals <= MOST_LATE
+    outcome = await run_trial(SHORT, **changes)
+    assert outcome.ended >= ending_requests.KNOWN_AFTER
+    assert outcome.late_arrivals <= MAX_LATE_ARRIVALS
 
 
 async def test_boxes_that_start_later_know_of_it() -> None:
-    seen = await play(SHORT, seconds=9.0, replaced=True)
-    assert seen.late_arrivals <= MOST_LATE
+    outcome = await run_trial(SHORT, seconds=9.0, replaced=True)
+    assert outcome.late_arrivals <= MAX_LATE_ARRIVALS
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "digest", "chat"])
 async def test_popular_request_is_served_while_endpoints_end(
     kind: str,
 ) -> None:
-    seen = await play(INNOCENT, kind=kind)
-    assert seen.own_ends == INNOCENT.own_ends
-    assert seen.innocent_shut_out == 0
-    assert seen.alike[200] > 0
+    outcome = await run_trial(INNOCENT, kind=kind)
+    assert outcome.own_ends == INNOCENT.own_ends
+    assert outcome.innocent_shut_out == 0
+    assert outcome.alike[200] > 0
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -28,11 +28,11 @@
 SHORT = telling_endpoints.Trial(from_s=1.0, seconds=5.0)
 
 
-async def play(
+async def run_trial(
     trial: telling_endpoints.Trial, **changes: object
 ) -> tuple[telling_endpoints.TellingFleet, telling_outcome.Outcome]:
-    played = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
-    fleet = telling_endpoints.TellingFleet(played)
+    changed_trial = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
+    fleet = telling_endpoints.TellingFleet(changed_trial)
     return fleet, await fleet.run(builders.patient_config_document())
 
 
@@ -40,23 +40,23 @@
 async def test_endpoint_that_announces_leaving_gets_no_more_work(
     word: Word,
 ) -> None:
-    _, seen = await play(SHORT, word=word)
-    assert seen.words
-    assert seen.late_from_told == 0
-    assert seen.late_from_any == 0
-    assert seen.served >= 0.99 * seen.sent
+    _, outcome = await run_trial(SHORT, word=word)
+    assert outcome.words
+    assert outcome.late_from_told == 0
+    assert outcome.late_from_any == 0
+    assert outcome.served >= 0.99 * outcome.sent
 
 
 async def test_restarted_endpoint_gets_work_again() -> None:
-    fleet, seen = await play(SHORT, back_at_s=2.0)
-    assert seen.late_from_told == 0
-    assert seen.barred == 0
-    work = seen.work_of_returned(fleet.names(trial_fleet.PLAIN))
+    fleet, outcome = await run_trial(SHORT, back_at_s=2.0)
+    assert outcome.late_from_told == 0
+    assert outcome.barred == 0
+    work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     assert len(work) == SHORT.tell_plain
     assert all(work)
 
 
-class Leaver(replica.Replica):
+class LeavingReplica(replica.Replica):
     """A replica that announces in all its answers that it is leaving."""
 
     def _notices(
@@ -65,9 +65,11 @@
         return {"Server-Leaving": "1"}
 
 
-async def leaver(fleet: boxes.Boxes, service: str) -> Leaver:
+async def start_leaving_replica(
+    fleet: boxes.Boxes, service: str
+) -> LeavingReplica:
     """Starts and returns a leaver as the only replica of its service."""
-    made = Leaver("i-1")
+    made = LeavingReplica("i-1")
     await made.start()
     fleet.replicas.append(made)
     fleet.record(made, service)
@@ -92,7 +94,7 @@
     fleet: boxes.Boxes, path: str, behaviour: Behaviour
 ) -> None:
     service = builders.ENGINE if path == "/chat/" else builders.PLAIN
-    made = await leaver(fleet, service)
+    made = await start_leaving_replica(fleet, service)
     made.always(behaviour)
     with contextlib.suppress(errors.TransportError):
         await requests.ask(fleet, path)
@@ -101,7 +103,7 @@
 
 
 async def test_health_check_can_announce_leaving(fleet: boxes.Boxes) -> None:
-    made = await leaver(fleet, builders.PLAIN)
+    made = await start_leaving_replica(fleet, builders.PLAIN)
     box = fleet.gateways[0]
     await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
     assert not box.listed.may_send(made.id)
@@ -110,7 +112,7 @@
 async def test_announcement_of_another_endpoint_is_ignored(
     fleet: boxes.Boxes,
 ) -> None:
-    made = await leaver(fleet, builders.PLAIN)
+    made = await start_leaving_replica(fleet, builders.PLAIN)
     made.always(Behaviour.MISDIRECTED)
     await requests.ask(fleet, "/safe/")
     assert made.received
--- a/tests/test_leaving_spread.py
+++ b/tests/test_leaving_spread.py
@@ -16,13 +16,13 @@
 rev = builders.rev
 
 
-def start(number: int) -> model.Endpoint:
+def endpoint_start(number: int) -> model.Endpoint:
     return dataclasses.replace(builders.endpoint(f"e1/{number}"), name="e1")
 
 
 def listed() -> endpoint_list.EndpointList:
     made = endpoint_list.EndpointList()
-    made.take_listing([(start(1), rev(3))], rev(5), now=0.0)
+    made.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     return made
 
 
@@ -30,9 +30,9 @@
     known = listed()
     assert known.say_leaving("e1/1")
     assert not known.say_leaving("e1/1")
-    known.take_change(start(1), rev(6))
-    known.take_listing([(start(1), rev(7))], rev(8), now=1.0)
-    known.take_view([(start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
+    known.take_change(endpoint_start(1), rev(6))
+    known.take_listing([(endpoint_start(1), rev(7))], rev(8), now=1.0)
+    known.take_view([(endpoint_start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
     assert known.ready_ids() == []
 
 
@@ -42,28 +42,28 @@
     known.store_lost()
     known.take_listing([], rev(6), now=1.0)
     known.store_returned(9.0, away_s=8.0)
-    known.take_change(start(1), rev(7))
+    known.take_change(endpoint_start(1), rev(7))
     assert known.ready_ids() == []
 
 
 def test_announcement_applies_to_an_endpoint_listed_later() -> None:
     known = endpoint_list.EndpointList()
     assert known.say_leaving("e1/1")
-    known.take_listing([(start(1), rev(3))], rev(5), now=0.0)
+    known.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     assert known.ready_ids() == []
 
 
 def test_restarted_endpoint_is_available() -> None:
     known = listed()
     known.say_leaving("e1/1")
-    known.take_change(start(2), rev(6))
+    known.take_change(endpoint_start(2), rev(6))
     assert known.ready_ids() == ["e1/2"]
 
 
 def test_endpoint_missing_from_a_peer_view_is_unavailable() -> None:
     known = listed()
     # Its entry is ready, but the sender of the view does not use it.
-    known.take_view([(start(1), rev(9))], set(), rev(9), 1.0)
+    known.take_view([(endpoint_start(1), rev(9))], set(), rev(9), 1.0)
     assert known.ready_ids() == []
 
 
--- a/tests/test_limited_endpoints.py
+++ b/tests/test_limited_endpoints.py
@@ -18,10 +18,10 @@
 SHORT = limited_endpoints.Trial(from_s=1.0, seconds=9.0)
 
 # Minimum fraction of a limit to be used if there is enough demand.
-LEAST_USED = 0.5
+MIN_USED_FRACTION = 0.5
 
 
-async def play(**changes: object) -> limit_outcome.Outcome:
+async def run_trial(**changes: object) -> limit_outcome.Outcome:
     trial = dataclasses.replace(SHORT, **changes)  # type: ignore[arg-type]
     fleet = limited_endpoints.LimitedFleet(trial)
     return await fleet.run(builders.patient_config_document())
@@ -41,35 +41,35 @@
 async def test_all_boxes_together_keep_to_a_limit(
     changes: dict[str, object],
 ) -> None:
-    seen = await play(**changes)
-    assert seen.windows()
-    assert seen.broken == 0
-    used = seen.used().values()
-    assert sum(used) / len(used) >= LEAST_USED
-    assert seen.served >= 0.99 * seen.sent
+    outcome = await run_trial(**changes)
+    assert outcome.windows()
+    assert outcome.broken == 0
+    used = outcome.used().values()
+    assert sum(used) / len(used) >= MIN_USED_FRACTION
+    assert outcome.served >= 0.99 * outcome.sent
 
 
 @pytest.mark.parametrize("limit", ["0", "0.5"])
 async def test_endpoint_that_takes_nearly_nothing_gets_little(
     limit: str,
 ) -> None:
-    seen = await play(limit=limit)
-    assert seen.windows()
-    assert seen.broken == 0
-    assert seen.served >= 0.99 * seen.sent
+    outcome = await run_trial(limit=limit)
+    assert outcome.windows()
+    assert outcome.broken == 0
+    assert outcome.served >= 0.99 * outcome.sent
 
 
 async def test_endpoint_gets_more_work_after_its_limit_ends() -> None:
-    seen = await play(limit="1", ends_s=6.0, seconds=10.0)
-    assert seen.broken == 0
-    assert all(seen.work_after_end(2.0).values())
-    assert seen.served >= 0.99 * seen.sent
+    outcome = await run_trial(limit="1", ends_s=6.0, seconds=10.0)
+    assert outcome.broken == 0
+    assert all(outcome.work_after_end(2.0).values())
+    assert outcome.served >= 0.99 * outcome.sent
 
 
 async def test_all_endpoints_of_a_service_may_announce_limits() -> None:
-    seen = await play(tell_plain=SHORT.plain, tell_engines=0)
-    assert seen.windows()
-    assert seen.broken == 0
-    assert set(seen.statuses) <= {200, 503}
-    assert {r.code for r in seen.refusals} == {"endpoints-limited"}
-    assert all(r.back_in_s for r in seen.refusals)
+    outcome = await run_trial(tell_plain=SHORT.plain, tell_engines=0)
+    assert outcome.windows()
+    assert outcome.broken == 0
+    assert set(outcome.statuses) <= {200, 503}
+    assert {r.code for r in outcome.refusals} == {"endpoints-limited"}
+    assert all(r.back_in_s for r in outcome.refusals)
--- a/tests/test_resting_endpoints.py
+++ b/tests/test_resting_endpoints.py
@@ -22,23 +22,23 @@
 # On a busy machine many requests are in flight to an endpoint before its first
 # refusal is read. The retry budget covers all of them, so that a refusal for
 # lack of retries is not mistaken for one for lack of endpoints.
-REPEATS = 600.0
+RETRIES = 600.0
 
 SHORT = telling_endpoints.Trial(
     word=telling_endpoints.Word.REST,
     tell_engines=0,
     from_s=1.0,
     rest_s=2.0,
-    repeats=REPEATS,
+    repeats=RETRIES,
     seconds=6.0,
 )
 
 
-async def play(
+async def run_trial(
     **changes: object,
 ) -> tuple[telling_endpoints.TellingFleet, telling_outcome.Outcome]:
-    played = dataclasses.replace(SHORT, **changes)  # type: ignore[arg-type]
-    fleet = telling_endpoints.TellingFleet(played)
+    changed_trial = dataclasses.replace(SHORT, **changes)  # type: ignore[arg-type]
+    fleet = telling_endpoints.TellingFleet(changed_trial)
     return fleet, await fleet.run(builders.patient_config_document())
 
 
@@ -54,24 +54,24 @@
 async def test_endpoint_that_asks_for_rest_gets_it(
     changes: dict[str, object],
 ) -> None:
-    _, seen = await play(**changes)
-    assert seen.refusals
-    assert seen.broken == 0
-    assert seen.served >= 0.99 * seen.sent, seen.codes
+    _, outcome = await run_trial(**changes)
+    assert outcome.refusals
+    assert outcome.broken == 0
+    assert outcome.served >= 0.99 * outcome.sent, outcome.codes
 
 
 async def test_endpoints_of_a_whole_service_get_their_rest() -> None:
-    _, seen = await play(tell_plain=SHORT.plain)
-    assert seen.refusals
-    assert seen.broken == 0
-    assert set(seen.statuses) <= {200, 503}
+    _, outcome = await run_trial(tell_plain=SHORT.plain)
+    assert outcome.refusals
+    assert outcome.broken == 0
+    assert set(outcome.statuses) <= {200, 503}
 
 
 async def test_endpoint_gets_work_again_after_its_back_off() -> None:
-    fleet, seen = await play(for_s=1.0, rest_s=1.0)
-    assert seen.refusals
-    assert seen.broken == 0
-    assert seen.barred == 0
-    work = seen.work_of_returned(fleet.names(trial_fleet.PLAIN))
+    fleet, outcome = await run_trial(for_s=1.0, rest_s=1.0)
+    assert outcome.refusals
+    assert outcome.broken == 0
+    assert outcome.barred == 0
+    work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     assert len(work) == SHORT.tell_plain
     assert all(work)
--- a/tests/test_store_returns.py
+++ b/tests/test_store_returns.py
@@ -61,9 +61,9 @@
 
 
 async def until_all(
-    fleet: boxes.Boxes, holds: Callable[[gateway.Gateway], bool]
+    fleet: boxes.Boxes, predicate: Callable[[gateway.Gateway], bool]
 ) -> None:
-    await boxes.until(lambda: all(holds(box) for box in fleet.gateways))
+    await boxes.until(lambda: all(predicate(box) for box in fleet.gateways))
 
 
 async def until_era_known(fleet: boxes.Boxes) -> None:
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -56,7 +56,7 @@
         return self._linked.sent
 
     async def round(self) -> None:
-        """Delivers all messages and lets all boxes forward what they got."""
+        """Delivers all messages and lets all boxes forward changes."""
         for _ in range(5):
             await asyncio.sleep(0)
         for node in self.nodes.values():
