--- a/martenjunction/routing/box_dump.py
+++ b/martenjunction/routing/box_dump.py
@@ -1,4 +1,4 @@
-"""The state of a box's parts, as an operator is shown it."""
+"""Collects the state of a box's components for the operators' dump."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 def parts(
-    known: picture.Picture,
+    cache: picture.Picture,
     freshness: key_freshness.ConfigFreshness,
     client: store.StoreClient,
     book: endpoint_book.EndpointBook,
@@ -23,26 +23,26 @@
     log: decision_log.DecisionLog,
     now: float,
 ) -> dict[str, Any]:
-    """Returns the state of the parts; keys are left out.
+    """Returns the state of the components, without API keys.
 
     Args:
-        known: What was read from the store.
-        freshness: How old the configuration is.
+        cache: The local copy of the store's state.
+        freshness: The age of the configuration.
         client: The store's client.
-        book: What is known of endpoints.
-        connections: Connections to them.
+        book: The endpoints and their records.
+        connections: Connections to the endpoints.
         peers: Connections to the other boxes.
-        members: Which boxes there are.
+        members: The boxes of the fleet.
         log: The log.
-        now: The current time.
+        now: The current time on the steady clock in seconds.
     """
     return {
-        "config": {"version": known.version, "age_s": freshness.age_s(now)},
+        "config": {"version": cache.version, "age_s": freshness.age_s(now)},
         "store": {
-            "answers": known.store_answers,
+            "answers": cache.store_answers,
             "calls": client.calls,
             "era": client.era,
-            "returns": known.store_returns,
+            "returns": cache.store_returns,
         },
         "endpoints": {
             endpoint_id: {
--- a/martenjunction/routing/config_documents.py
+++ b/martenjunction/routing/config_documents.py
@@ -1,4 +1,4 @@
-"""The documents of the last configurations, and how they differ."""
+"""Keeps recent configuration documents and encodes deltas between them."""
 
 import collections
 
@@ -8,71 +8,80 @@
 from martenjunction.peers import document_delta
 from martenjunction.routing import peer_messages
 
-# Documents that are kept to tell differences from: a box that lacks more
-# changes gets the whole one. One takes 15 kB with 48 routes.
-KEPT = 4
+# Number of documents kept as bases of deltas. A box that lacks more changes
+# gets the full document. A document with 48 routes takes 15 kB.
+MAX_DOCUMENTS = 4
 
-# The base of a whole document.
+# Base version that marks a full document.
 NO_BASE = 0
 
 
 class ConfigDocuments:
-    """What one box has had in force, for boxes that have it still."""
+    """The latest configuration documents that were in force at this box.
+
+    They are the bases of deltas for boxes with an earlier configuration.
+    """
 
     def __init__(self) -> None:
         self._specs: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
         )
-        self._news: dict[int, peer_messages.ConfigNews] = {}
+        self._updates: dict[int, peer_messages.ConfigNews] = {}
 
-    def keep(self, version: int, spec: bytes) -> None:
-        """Keeps a document that is in force now."""
+    def add(self, version: int, spec: bytes) -> None:
+        """Adds the document that is now in force."""
         self._specs[version] = spec
-        self._news.clear()
-        while len(self._specs) > KEPT:
+        self._updates.clear()
+        while len(self._specs) > MAX_DOCUMENTS:
             self._specs.popitem(last=False)
 
-    def news_for(self, version: int) -> peer_messages.ConfigNews | None:
-        """Returns what a box with a version has to be told.
+    def update_for(self, version: int) -> peer_messages.ConfigNews | None:
+        """Returns the update for a box that has a given version.
 
         Args:
-            version: The version that it has in force; 0 for none.
+            version: The version in force there; 0 for none.
 
         Returns:
-            The newest document, as what differs from that version where it is
-            known; None if that version is as new.
+            The newest document, as a delta if that version's document is
+            known; None if that version is up to date.
         """
         newest = next(reversed(self._specs), NO_BASE)
         if newest <= version:
             return None
         base = version if version in self._specs else NO_BASE
-        if base not in self._news:
+        if base not in self._updates:
             spec = self._specs[newest]
-            self._news[base] = peer_messages.ConfigNews(
+            self._updates[base] = peer_messages.ConfigNews(
                 newest,
                 base,
                 _digest(spec),
                 document_delta.encode(self._specs.get(base, b""), spec),
             )
-        return self._news[base]
+        return self._updates[base]
 
-    def news_of_last(self) -> peer_messages.ConfigNews | None:
-        """Returns what a box has to be told that lacks the last change only."""
+    def latest_update(self) -> peer_messages.ConfigNews | None:
+        """Returns the update for a box that lacks only the last change."""
         versions = list(self._specs)
-        return self.news_for(versions[-2] if len(versions) > 1 else NO_BASE)
+        return self.update_for(versions[-2] if len(versions) > 1 else NO_BASE)
+
+    def apply(self, update: peer_messages.ConfigNews) -> bytes | None:
+        """Applies an update to its base document.
 
-    def document_in(self, news: peer_messages.ConfigNews) -> bytes | None:
-        """Returns the document that news lead to; None if the base is unknown.
+        Returns:
+            The resulting document; None if the base is unknown.
 
         Raises:
-            PeerError: If they cannot be read or lead elsewhere.
+            PeerError: If the update cannot be decoded or the digest of the
+                result does not match.
         """
-        if news.base != NO_BASE and news.base not in self._specs:
+        if update.base != NO_BASE and update.base not in self._specs:
             return None
-        base = self._specs.get(news.base, b"")
-        spec = document_delta.apply(base, news.difference)
-        if _digest(spec) != news.digest:
-            raise errors.PeerError("a configuration with another digest")
+        base = self._specs.get(update.base, b"")
+        spec = document_delta.apply(base, update.delta)
+        if _digest(spec) != update.digest:
+            raise errors.PeerError(
+                "digest mismatch after applying a configuration delta"
+            )
         return spec
 
 
--- a/martenjunction/routing/holders.py
+++ b/martenjunction/routing/holders.py
@@ -8,27 +8,27 @@
 
 
 class HolderSelector:
-    """Selects the holder of a key from the boxes that this box hears.
+    """Selects the holder of a key from this box's responsive peers.
 
-    Boxes that hear the same set of boxes select the same holder. In a large
-    fleet a box hears only a few boxes of other availability zones. The box it
-    selects there may not be the holder, but hears more of that zone and can
-    forward the request.
+    Boxes with the same set of responsive peers select the same holder. In a
+    large fleet a box exchanges its status with only a few boxes of other
+    availability zones. The box it selects there may not be the holder, but has
+    more peers in that zone and can forward the request.
     """
 
     def __init__(
         self,
         members: membership.Membership,
-        heard: Callable[[], list[membership.Member]],
+        responsive: Callable[[], list[membership.Member]],
     ) -> None:
         """Initializes the selector.
 
         Args:
             members: The boxes of the fleet.
-            heard: Returns the other boxes that this box hears.
+            responsive: Returns the peers with a recent status.
         """
         self._members = members
-        self._heard = heard
+        self._responsive_peers = responsive
 
     @property
     def own_box(self) -> str:
@@ -42,24 +42,28 @@
             key: The key.
             excluded: Boxes not to select, such as those that do not answer.
         """
-        heard = [m for m in self._heard() if m.box not in excluded]
-        group = self._group(key, heard)
-        return rendezvous.owner([m.box for m in group], key) or self.own_box
+        responsive = [
+            m for m in self._responsive_peers() if m.box not in excluded
+        ]
+        candidates = self._candidates(key, responsive)
+        return (
+            rendezvous.owner([m.box for m in candidates], key) or self.own_box
+        )
 
-    def heard_part(self, key: str) -> float:
-        """Returns the fraction of the candidate boxes that this box hears."""
-        heard = self._group(key, self._heard())
+    def reachable_fraction(self, key: str) -> float:
+        """Returns the fraction of the candidate boxes that are responsive."""
+        responsive = self._candidates(key, self._responsive_peers())
         own = self._members.own
         others = [m for m in self._members.believed() if m is not own]
-        return min(1.0, len(heard) / len(self._group(key, others)))
+        return min(1.0, len(responsive) / len(self._candidates(key, others)))
 
-    def _group(
+    def _candidates(
         self, key: str, others: list[membership.Member]
     ) -> list[membership.Member]:
         """Returns the candidates for the holder among this box and others.
 
-        In a large fleet all candidates are in one availability zone: boxes
-        hear most of their own zone, but only a few boxes of other zones.
+        In a large fleet all candidates are in one availability zone: boxes have
+        most boxes of their own zone as peers, but only a few of other zones.
         """
         believed = self._members.believed()
         own = self._members.own
--- a/martenjunction/routing/leaving_sync.py
+++ b/martenjunction/routing/leaving_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other boxes which endpoints said that they leave."""
+"""Synchronizes announcements of leaving endpoints between boxes."""
 
 from martenjunction import events
 from martenjunction.decisions.boxes import endpoint_list
@@ -7,16 +7,17 @@
 from martenjunction.routing import decision_log
 from martenjunction.routing import peer_messages
 
-# Endpoints that a box tells of on a new connection, those that it heard of
-# last first; more would fill thin links.
-TOLD_TO_NEW = 256
+# Maximum number of endpoints sent on a new connection, the latest ones; more
+# would saturate links of low bandwidth.
+MAX_ON_CONNECT = 256
 
 
 class LeavingSync:
-    """One box's exchange with the others about endpoints that leave.
+    """Exchanges announcements of leaving endpoints with the other boxes.
 
-    An endpoint leaves for all boxes: the first word saves the others a request
-    there each. What is told only grows, so it may come twice and in any order.
+    An endpoint leaves for all boxes. Sharing its first announcement saves each
+    other box a request to it. The set only grows, so messages may be repeated
+    and arrive in any order.
     """
 
     def __init__(
@@ -26,13 +27,13 @@
         members: membership.Membership,
         log: decision_log.DecisionLog,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            listed: Which endpoints there are; told of those that leave.
+            listed: The endpoints; updated with those that leave.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            log: Told of each endpoint that leaves.
+            members: The boxes of the fleet.
+            log: Records each endpoint that leaves.
         """
         self._listed = listed
         self._peers = peers
@@ -40,40 +41,42 @@
         self._log = log
 
     def start(self, emitter: events.Events) -> None:
-        """Listens to the other boxes.
+        """Subscribes to peer messages and new connections.
 
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.EndpointsLeaving, self._on_news)
-        emitter.connect(events.PEER_CONNECTED, self._greet)
+        self._peers.subscribe(peer_messages.EndpointsLeaving, self._on_leaving)
+        emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
     def say_leaving(self, endpoint_id: str) -> None:
-        """Takes in an endpoint's own word, and tells all boxes."""
-        if self._take(endpoint_id, "endpoint"):
+        """Records an endpoint's own announcement and notifies all boxes."""
+        if self._record(endpoint_id, "endpoint"):
             self._broadcast([endpoint_id])
 
-    def _take(self, endpoint_id: str, told_by: str) -> bool:
-        """Takes a word in; returns whether it is news."""
+    def _record(self, endpoint_id: str, source: str) -> bool:
+        """Records that an endpoint leaves; returns whether it is new."""
         if not self._listed.say_leaving(endpoint_id):
             return False
         self._log.write(
-            "endpoint-leaving", endpoint=endpoint_id, told_by=told_by
+            "endpoint-leaving", endpoint=endpoint_id, told_by=source
         )
         return True
 
     def _broadcast(self, ids: list[str]) -> None:
         self._peers.broadcast(peer_messages.EndpointsLeaving(tuple(ids)))
 
-    def _greet(self, box: str) -> None:
-        """Tells a box that was not connected which endpoints leave."""
-        ids = self._listed.leaving[-TOLD_TO_NEW:]
+    def _on_connected(self, box: str) -> None:
+        """Sends the leaving endpoints to a newly connected box."""
+        ids = self._listed.leaving[-MAX_ON_CONNECT:]
         if ids:
             self._peers.send(box, peer_messages.EndpointsLeaving(tuple(ids)))
 
-    def _on_news(self, box: str, news: peer_messages.EndpointsLeaving) -> None:
-        fresh = [i for i in news.ids if self._take(i, box)]
+    def _on_leaving(
+        self, box: str, message: peer_messages.EndpointsLeaving
+    ) -> None:
+        new_ids = [i for i in message.ids if self._record(i, box)]
         linked = len(self._peers.boxes()) + 1
-        if fresh and linked < len(self._members.believed()):
-            # To boxes that the one that told it may not hear.
-            self._broadcast(fresh)
+        if new_ids and linked < len(self._members.believed()):
+            # Forwards to boxes that the sender may not be connected to.
+            self._broadcast(new_ids)
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -1,4 +1,4 @@
-"""Grants to send requests to endpoints that take only so many a second."""
+"""Grants for sending requests to rate-limited endpoints."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,109 +14,113 @@
 from martenjunction.routing import limit_sync
 from martenjunction.routing import peer_messages
 
-# Seconds that a request waits for the holder's answer before it goes elsewhere.
+# Timeout in seconds for the holder's answer, after which a request is sent to
+# another endpoint.
 ANSWER_LIMIT_S = 0.06
 
-# Seconds for which an endpoint whose holder did not answer gets nothing from
-# this box.
-NO_ANSWER_PAUSE_S = 0.25
+# Seconds for which this box sends nothing to an endpoint whose holder did not
+# answer.
+NO_ANSWER_BACKOFF_S = 0.25
 
-# Boxes that may pass a question on: in a large fleet the first one that is
-# asked is most often not the holder, but one that hears it.
-MOST_HOPS = 2
+# Maximum number of times a message is forwarded. In a large fleet the first box
+# asked is usually not the holder, but a peer of the holder.
+MAX_HOPS = 2
 
-# Questions that a box passed on, or buckets that it keeps, at the most.
-MAX_PASSED_ON = 1024
+# Maximum number of forwarded messages awaiting an answer, and of buckets.
+MAX_FORWARDED = 1024
 MAX_BUCKETS = 1024
 
-# Seconds after which a bucket that nobody asked for is forgotten; it begins
-# empty again.
+# Seconds after which an unused bucket is removed; a new one starts empty.
 BUCKET_LIFETIME_S = 10.0
-LOOK_INTERVAL_S = 1.0
+CLEANUP_INTERVAL_S = 1.0
 
 MS = 0.001
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateGrant:
-    """A request that may be sent.
+    """A grant to send one request to an endpoint.
 
     Attributes:
         endpoint_id: The endpoint.
-        giver: The box that granted it; None where none has to.
+        granter: The box that granted it; None if the endpoint has no limit.
     """
 
     endpoint_id: str
-    giver: str | None = None
+    granter: str | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class _Bucket:
+    """The token bucket of an endpoint and the time of its last use."""
+
     grants: grant_bucket.GrantBucket
-    asked_at: float
+    used_at: float
 
 
 class RateGrants:
-    """The one gate that each request to an endpoint passes.
+    """Admits each request to an endpoint within the endpoint's rate limit.
 
-    A limit is one number for all boxes, so what each of them decides by itself
-    adds up to more: one box, the endpoint's holder, grants each request.
+    A limit applies to all boxes together. Boxes that decide independently would
+    exceed it in total, so one box, the endpoint's holder, grants each request.
     """
 
     def __init__(
         self,
         book: endpoint_book.EndpointBook,
-        words: limit_sync.LimitSync,
+        sync: limit_sync.LimitSync,
         peers: hub.PeerHub,
         members: membership.Membership,
-        heard: Callable[[], list[membership.Member]],
+        responsive_peers: Callable[[], list[membership.Member]],
         clock: timers.Timers,
     ) -> None:
-        """Makes it; `start` begins to answer the other boxes.
+        """Initializes the grants; `start` subscribes to peer messages.
 
         Args:
-            book: Knows the endpoints' limits.
-            words: Told of what other boxes know of them.
+            book: Holds the endpoints' limits.
+            sync: Synchronizes the limits between boxes.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            heard: Returns the other boxes that are heard.
-            clock: Tells the time.
+            members: The boxes of the fleet.
+            responsive_peers: Returns the live peers with a recent status.
+            clock: The clock and timers.
         """
         self._limits = book.limits
-        self._words = words
+        self._limit_sync = sync
         self._peers = peers
-        self._selector = holders.HolderSelector(members, heard)
+        self._selector = holders.HolderSelector(members, responsive_peers)
         self._timers = clock
         self._buckets: dict[str, _Bucket] = {}
-        self._asked: dict[int, asyncio.Future[peer_messages.GrantAnswer]] = {}
-        self._passed_on: dict[int, tuple[str, int]] = {}
-        self._last = 0
-        self._refused = 0
-        self._given = 0
+        self._pending: dict[int, asyncio.Future[peer_messages.GrantAnswer]] = {}
+        self._forwarded: dict[int, tuple[str, int]] = {}
+        self._last_number = 0
+        self._denied = 0
+        self._granted = 0
 
     @property
     def refused(self) -> int:
-        """Requests that were not granted."""
-        return self._refused
+        """Number of requests of this box that were denied."""
+        return self._denied
 
     @property
     def given(self) -> int:
-        """Requests that this box granted, also those of other boxes."""
-        return self._given
+        """Number of requests granted by this box, for itself and others."""
+        return self._granted
 
     def start(self) -> None:
-        """Listens to the other boxes."""
+        """Subscribes to peer messages and timers."""
         self._peers.subscribe(peer_messages.AskGrant, self._on_ask)
         self._peers.subscribe(peer_messages.GrantAnswer, self._on_answer)
         self._peers.subscribe(peer_messages.GrantUnused, self._on_unused)
-        self._timers.subscribe("rate-grants", LOOK_INTERVAL_S, self._forget)
+        self._timers.subscribe(
+            "rate-grants", CLEANUP_INTERVAL_S, self._remove_unused_buckets
+        )
 
     def holder(self, endpoint_id: str) -> str:
-        """Returns the box that grants requests, as far as this one knows."""
+        """Returns the box that grants requests, as known to this box."""
         return self._selector.holder(endpoint_id)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the limits, and who grants requests, by endpoint."""
+        """Returns the limit and the holder of each limited endpoint."""
         now = self._timers.now()
         return {
             endpoint_id: {
@@ -130,45 +134,43 @@
         }
 
     async def take(self, endpoint_id: str) -> RateGrant | None:
-        """Returns a grant to send a request to an endpoint now.
-
-        To be asked right before it is sent.
+        """Acquires a grant; to be called right before a request is sent.
 
         Args:
             endpoint_id: The endpoint.
 
         Returns:
-            The grant; None if there is none now, or nobody gives it.
+            The grant; None if it is denied or the holder does not answer.
         """
         if self._limits.per_s(endpoint_id) is None:
             return RateGrant(endpoint_id)
         if not self._limits.is_open(endpoint_id, self._timers.now()):
-            self._refused += 1
+            self._denied += 1
             return None
         holder = self.holder(endpoint_id)
         if holder == self._selector.own_box:
-            wait_s = self._give(endpoint_id)
+            wait_s = self._grant(endpoint_id)
         else:
             wait_s = await self._ask(holder, endpoint_id)
         self._limits.close(endpoint_id, self._timers.now() + wait_s)
         if wait_s:
-            self._refused += 1
+            self._denied += 1
             return None
         return RateGrant(endpoint_id, holder)
 
     def put_back(self, grant: RateGrant) -> None:
-        """Takes a grant back that was not used, as nothing was sent."""
-        if grant.giver == self._selector.own_box:
-            self._put_back(grant.endpoint_id)
-        elif grant.giver is not None:
+        """Returns an unused grant, as its request was not sent."""
+        if grant.granter == self._selector.own_box:
+            self._refund(grant.endpoint_id)
+        elif grant.granter is not None:
             unused = peer_messages.GrantUnused(grant.endpoint_id, 0)
-            self._peers.send(grant.giver, unused)
+            self._peers.send(grant.granter, unused)
 
-    def _give(self, endpoint_id: str) -> float:
-        """Grants a request, as the holder.
+    def _grant(self, endpoint_id: str) -> float:
+        """Grants or denies a request, as the holder.
 
         Returns:
-            0 if it is granted, else seconds after which to ask again.
+            0 if it is granted, else the seconds after which to retry.
         """
         now = self._timers.now()
         limit = self._limits.per_s(endpoint_id)
@@ -180,87 +182,90 @@
                 del self._buckets[next(iter(self._buckets))]
             bucket = _Bucket(grant_bucket.GrantBucket(now), now)
             self._buckets[endpoint_id] = bucket
-        bucket.asked_at = now
+        bucket.used_at = now
         wait_s = bucket.grants.take(
-            limit, self._selector.heard_part(endpoint_id), now
+            limit, self._selector.reachable_fraction(endpoint_id), now
         )
-        self._given += not wait_s
+        self._granted += not wait_s
         return wait_s
 
-    def _put_back(self, endpoint_id: str) -> None:
+    def _refund(self, endpoint_id: str) -> None:
         bucket = self._buckets.get(endpoint_id)
         if bucket is not None:
             bucket.grants.put_back()
 
     async def _ask(self, holder: str, endpoint_id: str) -> float:
-        """Asks another box for a grant; returns what `_give` does."""
-        answered: asyncio.Future[peer_messages.GrantAnswer] = (
+        """Requests a grant from another box; returns the same as `_grant`."""
+        response: asyncio.Future[peer_messages.GrantAnswer] = (
             asyncio.get_running_loop().create_future()
         )
-        number = self._next()
-        self._asked[number] = answered
-        # One question at a time: the others of this box go elsewhere.
+        number = self._next_number()
+        self._pending[number] = response
+        # Only one grant request is in flight per endpoint; meanwhile other
+        # requests of this box are sent to other endpoints.
         self._limits.close(endpoint_id, self._timers.now() + ANSWER_LIMIT_S)
-        question = peer_messages.AskGrant(
-            number, self._words.word(endpoint_id), 0
+        message = peer_messages.AskGrant(
+            number, self._limit_sync.report(endpoint_id), 0
         )
         try:
-            if self._peers.send(holder, question):
-                await asyncio.wait([answered], timeout=ANSWER_LIMIT_S)
+            if self._peers.send(holder, message):
+                await asyncio.wait([response], timeout=ANSWER_LIMIT_S)
         finally:
-            del self._asked[number]
-        if not answered.done():
-            return NO_ANSWER_PAUSE_S
-        return answered.result().wait_ms * MS
+            del self._pending[number]
+        if not response.done():
+            return NO_ANSWER_BACKOFF_S
+        return response.result().wait_ms * MS
 
-    def _next(self) -> int:
-        self._last += 1
-        return self._last
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
     def _on_ask(self, box: str, ask: peer_messages.AskGrant) -> None:
-        endpoint_id = ask.word.endpoint
-        self._words.take(box, ask.word)
+        endpoint_id = ask.report.endpoint
+        self._limit_sync.merge(box, ask.report)
         holder = self.holder(endpoint_id)
         if holder == self._selector.own_box:
-            self._answer(box, ask.number, endpoint_id, self._give(endpoint_id))
+            self._answer(box, ask.number, endpoint_id, self._grant(endpoint_id))
             return
-        if ask.hops < MOST_HOPS and holder != box:
-            number = self._next()
-            onward = peer_messages.AskGrant(
-                number, self._words.word(endpoint_id), ask.hops + 1
+        if ask.hops < MAX_HOPS and holder != box:
+            number = self._next_number()
+            forwarded = peer_messages.AskGrant(
+                number, self._limit_sync.report(endpoint_id), ask.hops + 1
             )
-            if self._peers.send(holder, onward):
-                while len(self._passed_on) >= MAX_PASSED_ON:
-                    del self._passed_on[next(iter(self._passed_on))]
-                self._passed_on[number] = (box, ask.number)
+            if self._peers.send(holder, forwarded):
+                while len(self._forwarded) >= MAX_FORWARDED:
+                    del self._forwarded[next(iter(self._forwarded))]
+                self._forwarded[number] = (box, ask.number)
                 return
-        self._answer(box, ask.number, endpoint_id, NO_ANSWER_PAUSE_S)
+        self._answer(box, ask.number, endpoint_id, NO_ANSWER_BACKOFF_S)
 
     def _answer(
         self, box: str, number: int, endpoint_id: str, wait_s: float
     ) -> None:
-        # A wait that is rounded to nothing would read as a grant.
+        # A wait that is rounded to 0 would be taken for a grant.
         wait_ms = int(wait_s / MS) + 1 if wait_s else 0
         self._peers.send(
             box,
             peer_messages.GrantAnswer(
-                number, self._words.word(endpoint_id), wait_ms
+                number, self._limit_sync.report(endpoint_id), wait_ms
             ),
         )
 
     def _on_answer(self, box: str, answer: peer_messages.GrantAnswer) -> None:
-        self._words.take(box, answer.word)
-        passed_on = self._passed_on.pop(answer.number, None)
-        if passed_on is not None:
-            asker, number = passed_on
-            word = self._words.word(answer.word.endpoint)
-            onward = peer_messages.GrantAnswer(number, word, answer.wait_ms)
-            self._peers.send(asker, onward)
+        self._limit_sync.merge(box, answer.report)
+        origin = self._forwarded.pop(answer.number, None)
+        if origin is not None:
+            requester, number = origin
+            report = self._limit_sync.report(answer.report.endpoint)
+            forwarded = peer_messages.GrantAnswer(
+                number, report, answer.wait_ms
+            )
+            self._peers.send(requester, forwarded)
             return
-        waiting = self._asked.get(answer.number)
+        waiting = self._pending.get(answer.number)
         if waiting is None:
             if not answer.wait_ms:
-                unused = peer_messages.GrantUnused(answer.word.endpoint, 0)
+                unused = peer_messages.GrantUnused(answer.report.endpoint, 0)
                 self._peers.send(box, unused)
         elif not waiting.done():
             waiting.set_result(answer)
@@ -268,18 +273,18 @@
     def _on_unused(self, box: str, unused: peer_messages.GrantUnused) -> None:
         holder = self.holder(unused.endpoint)
         if holder == self._selector.own_box:
-            self._put_back(unused.endpoint)
-        elif unused.hops < MOST_HOPS and holder != box:
+            self._refund(unused.endpoint)
+        elif unused.hops < MAX_HOPS and holder != box:
             self._peers.send(
                 holder,
                 dataclasses.replace(unused, hops=unused.hops + 1),
             )
 
-    def _forget(self) -> None:
+    def _remove_unused_buckets(self) -> None:
         now = self._timers.now()
         for endpoint_id in [
             i
             for i, bucket in self._buckets.items()
-            if now - bucket.asked_at > BUCKET_LIFETIME_S
+            if now - bucket.used_at > BUCKET_LIFETIME_S
         ]:
             del self._buckets[endpoint_id]
--- a/martenjunction/routing/suspect_news.py
+++ b/martenjunction/routing/suspect_news.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other of suspected requests."""
+"""Encodes and decodes records of suspected requests for peer messages."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -8,14 +8,14 @@
 from martenjunction.routing import peer_messages
 from martenjunction.routing import request_content
 
-# The longest name of an endpoint or build that is taken from a peer.
+# Maximum length of a service, endpoint or build name accepted from a peer.
 MAX_NAME = 256
 
 
 def encode(
     suspects: Iterable[suspect_table.Suspect],
 ) -> peer_messages.Suspects:
-    """Returns the message that tells of some requests."""
+    """Returns a message with the records of suspected requests."""
     rows = [(suspect.key, suspect.held) for suspect in suspects]
     return peer_messages.Suspects(
         tuple(key.caller for key, _ in rows),
@@ -33,29 +33,29 @@
 
 
 def decode(
-    news: peer_messages.Suspects,
+    message: peer_messages.Suspects,
 ) -> Iterator[tuple[request_content.ContentKey, suspicion.Suspicion]]:
-    """Yields what a message tells of each request.
+    """Yields the key and the record of each request in a message.
 
-    What cannot be true is left out: a digest of another length, a count or a
-    generation below its least value, names that are too long.
+    Invalid records are skipped: those with a digest of the wrong length, a
+    count or generation below its minimum, or a name that is too long.
     """
     rows = zip(
-        news.callers,
-        news.contents,
-        news.services,
-        news.epochs,
-        news.ends,
-        news.generations,
-        news.builds,
-        news.tries,
-        news.quarantined,
-        news.releases,
-        news.outlived,
+        message.callers,
+        message.contents,
+        message.services,
+        message.epochs,
+        message.crashes,
+        message.generations,
+        message.builds,
+        message.tries,
+        message.quarantined,
+        message.releases,
+        message.outlived,
         strict=False,
     )
     for row in rows:
-        caller, content, service, epoch, ends, generations = row[:6]
+        caller, content, service, epoch, crashes, generations = row[:6]
         builds, tries, quarantined, releases, outlived = row[6:]
         if len(caller) != request_content.CALLER_BYTES:
             continue
@@ -66,7 +66,7 @@
             or min(generations, default=1) < 1
         ):
             continue
-        if any(len(name) > MAX_NAME for name in (service, *ends, *builds)):
+        if any(len(name) > MAX_NAME for name in (service, *crashes, *builds)):
             continue
         key = request_content.ContentKey(caller, content)
         yield (
@@ -74,7 +74,7 @@
             suspicion.Suspicion(
                 service,
                 epoch,
-                dict(zip(ends, generations, strict=False)),
+                dict(zip(crashes, generations, strict=False)),
                 frozenset(builds),
                 tries,
                 quarantined,
--- a/martenjunction/routing/suspect_sync.py
+++ b/martenjunction/routing/suspect_sync.py
@@ -1,4 +1,4 @@
-"""Tells the other boxes which requests are suspected, and hears of theirs."""
+"""Synchronizes the suspected requests between boxes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,11 +12,11 @@
 from martenjunction.routing import request_content
 from martenjunction.routing import suspect_news
 
-# Suspected requests that a box tells of on a new connection, those with the
-# most against them first; more than a flood of them would fill thin links.
-TOLD_TO_NEW = 64
+# Maximum number of suspected requests sent on a new connection, by descending
+# weight. A larger number would saturate links of low bandwidth.
+MAX_ON_CONNECT = 64
 
-Take = Callable[
+MergeSuspicion = Callable[
     [str, request_content.ContentKey, suspicion.Suspicion],
     suspect_table.Suspect | None,
 ]
@@ -24,78 +24,80 @@
 
 
 class SuspectSync:
-    """One box's exchange with the others about suspected requests."""
+    """Exchanges records of suspected requests with the other boxes."""
 
     def __init__(
         self,
         table: suspect_table.SuspectTable,
         peers: hub.PeerHub,
         members: membership.Membership,
-        take: Take,
+        merge: MergeSuspicion,
     ) -> None:
-        """Makes the exchange; `start` begins.
+        """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            table: What this box knows.
+            table: The suspected requests that this box knows.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            take: Takes in what a box holds against a request; returns what
-                changed by it.
+            members: The boxes of the fleet.
+            merge: Merges another box's record of a request; returns the result
+                if it changed.
         """
         self._table = table
         self._peers = peers
         self._members = members
-        self._take = take
-        self._untold: _Batch = {}
-        self._to_pass_on: _Batch = {}
+        self._merge = merge
+        self._pending: _Batch = {}
+        self._pending_forwards: _Batch = {}
 
     def start(self, emitter: events.Events) -> None:
-        """Listens to the other boxes.
+        """Subscribes to peer messages and new connections.
 
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.Suspects, self._on_news)
-        emitter.connect(events.PEER_CONNECTED, self._greet)
+        self._peers.subscribe(peer_messages.Suspects, self._on_suspects)
+        emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
-    def tell(self, suspect: suspect_table.Suspect) -> None:
-        """Tells all boxes of a change, in this turn of the loop."""
-        if not self._untold:
-            asyncio.get_running_loop().call_soon(self._broadcast, self._untold)
-        self._untold[suspect.key] = suspect
+    def announce(self, suspect: suspect_table.Suspect) -> None:
+        """Schedules a change for broadcast in this event loop iteration."""
+        if not self._pending:
+            asyncio.get_running_loop().call_soon(self._broadcast, self._pending)
+        self._pending[suspect.key] = suspect
 
     def pass_on(self) -> None:
-        """Passes on what came up since, to boxes that its sender may not hear.
+        """Forwards pending changes to boxes that their sender may not reach.
 
-        To be called some times a second: one by one, each suspect of one end
-        makes as many messages as the fleet has links.
+        To be called a few times per second. Forwarding each change separately
+        would take one message per link of the fleet for each of the requests
+        that were running at an endpoint when it crashed.
         """
-        self._broadcast(self._to_pass_on)
+        self._broadcast(self._pending_forwards)
 
     def _broadcast(self, batch: _Batch) -> None:
         if batch:
             self._peers.broadcast(suspect_news.encode(batch.values()))
             batch.clear()
 
-    def _greet(self, box: str) -> None:
-        """Tells a box that was not connected what is held against whom."""
+    def _on_connected(self, box: str) -> None:
+        """Sends the suspected requests to a newly connected box."""
         known = [s for s in self._table if s.held.generation]
         known.sort(key=suspect_table.weight, reverse=True)
         if known:
-            self._peers.send(box, suspect_news.encode(known[:TOLD_TO_NEW]))
+            self._peers.send(box, suspect_news.encode(known[:MAX_ON_CONNECT]))
 
-    def _on_news(self, box: str, news: peer_messages.Suspects) -> None:
+    def _on_suspects(self, box: str, message: peer_messages.Suspects) -> None:
         linked = len(self._peers.boxes()) + 1
-        passes_on = linked < len(self._members.believed())
+        should_forward = linked < len(self._members.believed())
         outdated = []
-        for key, held in suspect_news.decode(news):
-            changed = self._take(box, key, held)
+        for key, held in suspect_news.decode(message):
+            changed = self._merge(box, key, held)
             known = self._table.find(key)
             if changed is None:
                 if known is not None and held.epoch < known.held.epoch:
                     outdated.append(known)
-            elif passes_on:
-                self._to_pass_on[key] = changed
+            elif should_forward:
+                self._pending_forwards[key] = changed
         if outdated:
-            # Else what it holds against them would not count anywhere.
+            # Without the current epoch, crashes that the sender records would
+            # be ignored by all other boxes.
             self._peers.send(box, suspect_news.encode(outdated))
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which endpoints end from doing it again."""
+"""Quarantines requests that repeatedly crash endpoints."""
 
 import asyncio
 import collections
@@ -24,33 +24,46 @@
 from martenjunction.routing import suspect_sync
 from martenjunction.routing import trial_grants
 
-# Seconds for which a run that broke off waits for proof that its endpoint has
-# ended: an entry is written anew within some seconds of the new start.
-UNSURE_S = 8.0
-MAX_UNSURE = 256
+# Seconds for which a run that broke off waits for proof that its endpoint
+# crashed: a restarted endpoint rewrites its entry within some seconds.
+UNCONFIRMED_LIFETIME_S = 8.0
+MAX_UNCONFIRMED = 256
 
-# Seconds between two looks at those and at what may be forgotten.
-LOOK_INTERVAL_S = 0.1
+# Interval in seconds of checks of those runs and of expired records.
+CHECK_INTERVAL_S = 0.1
 
-# The longest part of the time that is left for which a request waits while
-# another run of its content is tried. It is then refused: sending it would send
-# all requests that began to wait at the same time at once.
-MOST_WAIT_PART = 0.5
+# Maximum fraction of its remaining time for which a request waits for a trial
+# of the same content. It is then refused, as sending it would send all requests
+# that began to wait at the same time at once.
+MAX_WAIT_FRACTION = 0.5
 
-# The answer to a request that is not sent.
+# Status and error code of the answer to a quarantined request.
 QUARANTINED_STATUS = 503
 QUARANTINED_CODE = "ends-endpoints"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Unsure:
+class _UnconfirmedCrash:
+    """A run that broke off and whose endpoint may have crashed.
+
+    Attributes:
+        permit: The run's permit.
+        endpoint: The endpoint.
+        at: Time on the steady clock when the run broke off.
+    """
+
     permit: permits.Permit
     endpoint: model.Endpoint
     at: float
 
 
 class Suspects:
-    """One box's knowledge of requests that end endpoints."""
+    """Decides which requests one box may send after crashes of endpoints.
+
+    A request during which an endpoint crashed is suspected: usually only one
+    trial of it runs at a time across the fleet, and it is quarantined after
+    further crashes.
+    """
 
     def __init__(
         self,
@@ -61,67 +74,67 @@
         clock: timers.Timers,
         emitter: events.Events,
         log: decision_log.DecisionLog,
-        heard: Callable[[], list[membership.Member]],
+        responsive_peers: Callable[[], list[membership.Member]],
     ) -> None:
-        """Makes it; `start` begins to listen to the other boxes.
+        """Initializes the quarantine; `start` subscribes to peer messages.
 
         Args:
             listed: The endpoints.
-            ends: Finds out whether endpoints have ended.
+            ends: Detects whether endpoints have crashed.
             peers: Connections to the other boxes.
-            members: Which boxes there are.
-            clock: Tells the time.
+            members: The boxes of the fleet.
+            clock: The clock and timers.
             emitter: Announces new connections to boxes.
-            log: Told of what is believed of requests.
-            heard: Returns the other boxes that this box hears.
+            log: Records changes of suspected requests.
+            responsive_peers: Returns the live peers with a recent status.
         """
         self._listed = listed
         self._timers = clock
         self._events = emitter
         self._log = log
         self._table = suspect_table.SuspectTable()
-        self._unsure: collections.deque[_Unsure] = collections.deque(
-            maxlen=MAX_UNSURE
+        self._unconfirmed: collections.deque[_UnconfirmedCrash] = (
+            collections.deque(maxlen=MAX_UNCONFIRMED)
         )
         self._running_trials: list[tuple[float, permits.Permit]] = []
         self._waiting: dict[
             request_content.ContentKey, set[asyncio.Future[None]]
         ] = {}
         self._sync = suspect_sync.SuspectSync(
-            self._table, peers, members, self._take
+            self._table, peers, members, self._merge
         )
         self._trials = trial_grants.TrialGrants(
             self._table,
             peers,
-            holders.HolderSelector(members, heard),
+            holders.HolderSelector(members, responsive_peers),
             clock,
             self._decide_trial,
-            self._take,
+            self._merge,
             self._end_trial,
         )
         self._refused = 0
-        ends.on_ended(self._settle_unsure)
+        ends.on_ended(self._confirm_crash)
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
-        """The endpoints, to be read only."""
+        """The endpoints; read-only."""
         return self._listed
 
     @property
     def refused(self) -> int:
-        """Requests so far that were not sent, being quarantined."""
+        """Number of requests refused so far because of a quarantine."""
         return self._refused
 
     @property
     def table(self) -> suspect_table.SuspectTable:
-        """What is known, to be read only."""
+        """The suspected requests; read-only."""
         return self._table
 
     def start(self) -> None:
-        """Listens to the other boxes."""
+        """Subscribes to peer messages and timers."""
         self._sync.start(self._events)
         self._trials.start()
-        self._timers.subscribe("suspects", LOOK_INTERVAL_S, self._look)
+        self._timers.subscribe("suspects", CHECK_INTERVAL_S, self._check)
 
     async def permit(
         self,
@@ -134,15 +147,18 @@
         Args:
             key: The request.
             service: The service.
-            deadline: Steady clock until which it may be held.
+            deadline: Time on the steady clock until which it may be held.
+
+        Returns:
+            A permit to send the request.
 
         Raises:
-            RefusalError: If it may not.
+            RefusalError: If the request is quarantined or its wait timed out.
         """
         began = self._timers.now()
-        until = began + (deadline - began) * MOST_WAIT_PART
+        until = began + (deadline - began) * MAX_WAIT_FRACTION
         while True:
-            builds = self._builds(service, key)
+            builds = self._ready_builds(service, key)
             ruling = self._table.judge(key, builds, self._timers.now())
             if ruling.verdict is suspect_table.Verdict.QUARANTINED:
                 self._refuse(ruling.again_s)
@@ -184,7 +200,7 @@
         return permits.Permit(self, key, service, trial_ruling)
 
     def stands(self, permit: permits.Permit) -> bool:
-        """Returns whether nothing came up since a permit was given."""
+        """Returns whether no crash was recorded since a permit was issued."""
         suspect = self._table.find(permit.key)
         if suspect is None:
             return True
@@ -194,19 +210,19 @@
         return held.generation < ruling.generation
 
     def note_answer(self, permit: permits.Permit) -> None:
-        """Notes that an endpoint answered a run in full."""
+        """Records that an endpoint answered a run completely."""
         now = self._timers.now()
         cleared = self._table.note_answer(permit.key, permit.service.name, now)
         if cleared is not None:
             self._log.write(
                 "request-cleared", content=str(permit.key), why="answered"
             )
-            self._tell(cleared)
+            self._announce(cleared)
 
     def note_end(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Notes that an endpoint ended under a run."""
+        """Records that an endpoint crashed during a run."""
         now = self._timers.now()
         changed = self._table.note_end(
             permit.key,
@@ -217,25 +233,32 @@
             now,
         )
         if changed is not None:
-            self._write("request-suspected", changed, endpoint=endpoint.id)
-            self._tell(changed)
+            self._log_suspect(
+                "request-suspected", changed, endpoint=endpoint.id
+            )
+            self._announce(changed)
 
     def note_unsure(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
-        """Notes that a run broke off, and that its endpoint may have ended."""
-        self._unsure.append(_Unsure(permit, endpoint, self._timers.now()))
+        """Records that a run broke off and its endpoint may have crashed."""
+        self._unconfirmed.append(
+            _UnconfirmedCrash(permit, endpoint, self._timers.now())
+        )
 
     def end_trial(self, permit: permits.Permit) -> None:
-        """Notes that a run on its own showed nothing."""
+        """Records that a trial was inconclusive."""
         self._trials.report_over(permit.key, permit.ruling.trial)
         self._end_trial(permit.key, permit.ruling.trial)
 
     def lift(self, name: str) -> bool:
-        """Clears a request by an operator's word; returns whether there was.
+        """Clears a suspected request at an operator's command.
 
         Args:
-            name: The request's content, as logs and the dump name it.
+            name: The request's content key, as shown in logs and the dump.
+
+        Returns:
+            Whether a matching request was cleared.
         """
         for suspect in self._table:
             if str(suspect.key) != name:
@@ -244,12 +267,12 @@
             if cleared is None:
                 return False
             self._log.write("request-cleared", content=name, why="operator")
-            self._tell(cleared)
+            self._announce(cleared)
             return True
         return False
 
     def dump(self) -> list[dict[str, Any]]:
-        """Returns what is held against each suspected request."""
+        """Returns the records of all suspected requests."""
         now = self._timers.now()
         return [
             _describe(suspect, self._table.ends_needed(suspect, now))
@@ -269,8 +292,8 @@
             return trial_grants.TrialRuling(False, ruling.again_s)
         suspect = self._table.begin_trial(key, now)
         if suspect is not None:
-            self._write("request-tried", suspect)
-            self._tell(suspect)
+            self._log_suspect("request-tried", suspect)
+            self._announce(suspect)
         return trial_grants.TrialRuling(True)
 
     def _end_trial(self, key: request_content.ContentKey, trial: int) -> None:
@@ -282,14 +305,14 @@
         raise admission.RefusalError(
             QUARANTINED_STATUS,
             QUARANTINED_CODE,
-            "endpoints ended under it one after the other",
+            "quarantined: several endpoints crashed during this request",
             again_s,
         )
 
-    def _builds(
+    def _ready_builds(
         self, service: model.Service, key: request_content.ContentKey
     ) -> frozenset[str]:
-        """Returns what runs at a service, where it matters."""
+        """Returns a service's ready builds; empty unless quarantined."""
         suspect = self._table.find(key)
         if suspect is None or not suspect.held.quarantined:
             return frozenset()
@@ -299,62 +322,67 @@
     async def _wait(
         self, key: request_content.ContentKey, wait_s: float
     ) -> None:
-        """Waits for news of a request, or until some time has passed."""
-        news: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        """Waits until a request's record changes or the timeout expires."""
+        waiter: asyncio.Future[None] = (
+            asyncio.get_running_loop().create_future()
+        )
         waiting = self._waiting.setdefault(key, set())
-        waiting.add(news)
+        waiting.add(waiter)
         try:
-            await asyncio.wait([news], timeout=wait_s)
+            await asyncio.wait([waiter], timeout=wait_s)
         finally:
-            waiting.discard(news)
+            waiting.discard(waiter)
             if not waiting:
                 self._waiting.pop(key, None)
 
     def _wake(self, key: request_content.ContentKey) -> None:
-        for news in self._waiting.get(key, ()):
-            if not news.done():
-                news.set_result(None)
+        for waiter in self._waiting.get(key, ()):
+            if not waiter.done():
+                waiter.set_result(None)
 
-    def _tell(self, suspect: suspect_table.Suspect) -> None:
-        """Tells all boxes, and the requests that wait here."""
+    def _announce(self, suspect: suspect_table.Suspect) -> None:
+        """Wakes requests waiting in this box and notifies all boxes."""
         self._wake(suspect.key)
-        self._sync.tell(suspect)
+        self._sync.announce(suspect)
 
-    def _take(
+    def _merge(
         self,
         box: str,
         key: request_content.ContentKey,
         held: suspicion.Suspicion,
     ) -> suspect_table.Suspect | None:
-        """Takes in what another box holds; returns what changed by it."""
+        """Merges another box's record; returns the result if it changed."""
         changed = self._table.take(key, held, self._timers.now())
         if changed is not None:
             cleared = not changed.held.generation
             kind = "request-cleared" if cleared else "request-suspected"
-            self._write(kind, changed, told_by=box)
+            self._log_suspect(kind, changed, told_by=box)
             self._wake(key)
         return changed
 
-    def _settle_unsure(self, endpoint_id: str) -> None:
-        """Takes in that an endpoint has ended, where runs broke off before."""
-        for run in list(self._unsure):
+    def _confirm_crash(self, endpoint_id: str) -> None:
+        """Records a confirmed crash for runs that broke off at the endpoint."""
+        for run in list(self._unconfirmed):
             if run.endpoint.id == endpoint_id:
-                self._unsure.remove(run)
+                self._unconfirmed.remove(run)
                 run.permit.ended(run.endpoint)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._timers.now()
-        while self._unsure and now - self._unsure[0].at > UNSURE_S:
-            self._unsure.popleft()
-        for run in list(self._unsure):
+        while (
+            self._unconfirmed
+            and now - self._unconfirmed[0].at > UNCONFIRMED_LIFETIME_S
+        ):
+            self._unconfirmed.popleft()
+        for run in list(self._unconfirmed):
             if self._listed.restarted(run.endpoint.id):
-                self._settle_unsure(run.endpoint.id)
+                self._confirm_crash(run.endpoint.id)
         self._report_outlived_trials()
         self._table.forget(now)
         self._sync.pass_on()
 
     def _report_outlived_trials(self) -> None:
-        """Tells all boxes of trials still running after `OUTLIVED_S`.
+        """Notifies all boxes of trials still running after `OUTLIVED_S`.
 
         Time during which the event loop is blocked does not count.
         """
@@ -369,10 +397,10 @@
                 continue
             suspect = self._table.note_outlived(permit.key, permit.ruling.epoch)
             if suspect is not None:
-                self._write("request-outlived", suspect)
-                self._tell(suspect)
+                self._log_suspect("request-outlived", suspect)
+                self._announce(suspect)
 
-    def _write(
+    def _log_suspect(
         self, kind: str, suspect: suspect_table.Suspect, **fields: Any
     ) -> None:
         needed = self._table.ends_needed(suspect, self._timers.now())
--- a/tests/ending_table.py
+++ b/tests/ending_table.py
@@ -1,8 +1,8 @@
-"""Plays requests that end endpoints, and endpoints that end by themselves.
+"""Runs trials in which endpoints crash, because of requests or by themselves.
 
     python -m tests.ending_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
-prints a line for each row and seed; the rows stand in `ROWS`.
+Prints one line per row and seed. `ROWS` defines the rows.
 """
 
 from martenjunction_lab import ending_requests
@@ -12,7 +12,7 @@
 Trial = ending_requests.Trial
 OWN = {"fatal": 0, "alike": 0.3, "own_ends": 18}
 
-# Some changes of the usual trial each.
+# Overrides of the default trial's parameters per row.
 ROWS: dict[str, dict[str, object]] = {
     "repeatable": {},
     "not-repeatable": {"kind": "unsafe"},
@@ -36,17 +36,19 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
-    """Plays one row with one seed; returns its line."""
+async def run_row(row: str, seed: int) -> str:
+    """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = ending_requests.EndingFleet(trial)
-    seen = await fleet.run(builders.config_document())
+    outcome = await fleet.run(builders.config_document())
     return (
-        f"{row} seed {seed}: ended {seen.ended}, late {seen.late_arrivals},"
-        f" by themselves {seen.own_ends}, served {seen.served} of {seen.sent},"
-        f" alike {dict(seen.alike)}, shut out {seen.innocent_shut_out}"
+        f"{row} seed {seed}: ended {outcome.ended},"
+        f" late {outcome.late_arrivals},"
+        f" by themselves {outcome.own_ends},"
+        f" served {outcome.served} of {outcome.sent},"
+        f" alike {dict(outcome.alike)}, shut out {outcome.innocent_shut_out}"
     )
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/telling_table.py
+++ b/tests/telling_table.py
@@ -1,8 +1,8 @@
-"""Plays endpoints that say in answers that they leave or want rest.
+"""Runs trials with endpoints that announce leaving or request a back-off.
 
     python -m tests.telling_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
-prints a line for each row and seed; the rows stand in `ROWS`.
+Prints one line per row and seed. `ROWS` defines the rows.
 """
 
 from martenjunction_lab import telling_endpoints
@@ -13,7 +13,7 @@
 Trial = telling_endpoints.Trial
 REST = {"word": telling_endpoints.Word.REST, "tell_engines": 0}
 
-# Some changes of the usual trial each.
+# Overrides of the default trial's parameters per row.
 ROWS: dict[str, dict[str, object]] = {
     "leaving": {},
     "leaving-and-back": {"back_at_s": 6.0},
@@ -36,24 +36,24 @@
 }
 
 
-async def play(row: str, seed: int) -> str:
-    """Plays one row with one seed; returns its line."""
+async def run_row(row: str, seed: int) -> str:
+    """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(trial)
-    seen = await fleet.run(builders.patient_config_document())
-    work = seen.work_of_returned(fleet.names(trial_fleet.PLAIN))
+    outcome = await fleet.run(builders.patient_config_document())
+    work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     return (
-        f"{row} seed {seed}: late {seen.late_from_told} from told"
-        f" {seen.late_from_any} from any, rests {len(seen.refusals)}"
-        f" broken {seen.broken} most {max(seen.in_rest, default=0)},"
-        f" served {seen.served} of {seen.sent} {dict(seen.statuses)}"
-        f" {dict(seen.codes)},"
-        f" work of returned {work} barred {seen.barred},"
-        f" longest refusal {max(seen.refused_s, default=0.0):.3f} s,"
-        f" told to come back in {max(seen.back_in_s, default=0.0):.2f} s"
+        f"{row} seed {seed}: late {outcome.late_from_told} from told"
+        f" {outcome.late_from_any} from any, rests {len(outcome.refusals)}"
+        f" broken {outcome.broken} most {max(outcome.in_rest, default=0)},"
+        f" served {outcome.served} of {outcome.sent} {dict(outcome.statuses)}"
+        f" {dict(outcome.codes)},"
+        f" work of returned {work} barred {outcome.barred},"
+        f" longest refusal {max(outcome.refused_s, default=0.0):.3f} s,"
+        f" told to come back in {max(outcome.back_in_s, default=0.0):.2f} s"
         " at most"
     )
 
 
 if __name__ == "__main__":
-    trial_tables.main(play)
+    trial_tables.main(run_row)
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -1,4 +1,4 @@
-"""A box that knows of a change which it does not have."""
+"""A box that knows of a newer configuration that it does not have yet."""
 
 import dataclasses
 import random
@@ -33,7 +33,7 @@
     )
 
 
-def test_box_lags_until_it_has_what_it_heard_of() -> None:
+def test_box_lags_until_it_has_the_newest_version() -> None:
     known = freshness()
     assert known.heard_of(8, 1.0)
     assert not known.heard_of(8, 1.5)
@@ -46,7 +46,7 @@
     assert not known.lags(100.0)
 
 
-def test_what_only_a_box_knew_that_is_gone_keeps_none_from_serving() -> None:
+def test_version_known_only_to_a_lost_box_does_not_stop_serving() -> None:
     known = freshness()
     known.heard_of(9, 0.0)
     known.nobody_has(above=8)
@@ -59,21 +59,21 @@
     return made
 
 
-def test_box_that_lags_refuses_what_a_change_may_have_taken_away() -> None:
-    # A box that was behind for seconds, and knew it from its peers, ran
-    # requests with keys that the change took away: where keys do not fail
-    # closed nothing kept it from that.
+def test_lagging_box_refuses_requests() -> None:
+    # Guards against serving requests with revoked keys: unless keys fail
+    # closed, nothing else stops a box that has lagged for seconds and knows it
+    # from its peers.
     known = freshness()
     judge = admitter(known)
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     known.heard_of(8, 0.0)
     late = SERVED_S + 0.1
     with pytest.raises(admission.RefusalError) as refusal:
         judge.admit(facts(), "/safe/x", late)
     assert refusal.value.status == 503
     assert refusal.value.retry_after is not None
-    assert judge.still_allowed(taken, 0.0, SERVED_S)
-    assert not judge.still_allowed(taken, 0.0, late)
+    assert judge.still_allowed(admitted, 0.0, SERVED_S)
+    assert not judge.still_allowed(admitted, 0.0, late)
 
 
 @pytest.mark.parametrize(
@@ -85,83 +85,83 @@
     ],
     ids=["route gone", "route moved", "key gone"],
 )
-def test_request_that_waited_is_judged_by_the_change(
+def test_waiting_request_is_checked_against_the_new_configuration(
     changes: dict[str, object],
 ) -> None:
-    # Requests waited in their box for up to 0.9 s before they were sent on; a
-    # change of their route that came in force meanwhile was not looked at.
+    # Guards against ignoring a change of the route that takes effect while a
+    # request waits in its box, which was observed to take up to 0.9 s.
     judge = admitter(freshness())
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8, **changes))
-    assert not judge.still_allowed(taken, 0.0, 0.5)
+    assert not judge.still_allowed(admitted, 0.0, 0.5)
 
 
-def test_request_that_waited_goes_on_where_its_route_stands() -> None:
+def test_waiting_request_proceeds_if_its_route_is_unchanged() -> None:
     judge = admitter(freshness())
-    taken = judge.admit(facts(), "/safe/x", 0.0)
+    admitted = judge.admit(facts(), "/safe/x", 0.0)
     judge.put_in_force(builders.config(8))
-    assert judge.still_allowed(taken, 0.0, 0.5)
+    assert judge.still_allowed(admitted, 0.0, 0.5)
 
 
-# Documents that a box can tell as differences.
+# Deltas between configuration documents.
 
 
-def kept(*versions: int) -> config_documents.ConfigDocuments:
+def make_documents(*versions: int) -> config_documents.ConfigDocuments:
     made = config_documents.ConfigDocuments()
     for version in versions:
-        made.keep(version, spread.document(version, 60))
+        made.add(version, spread.document(version, 60))
     return made
 
 
-def test_box_that_lacks_few_changes_gets_the_difference() -> None:
-    news = kept(5, 6, 7).news_for(6)
-    assert news is not None
-    assert (news.version, news.base) == (7, 6)
-    assert kept(6).document_in(news) == spread.document(7, 60)
-    assert kept(5).document_in(news) is None
+def test_box_that_lacks_few_changes_gets_a_delta() -> None:
+    update = make_documents(5, 6, 7).update_for(6)
+    assert update is not None
+    assert (update.version, update.base) == (7, 6)
+    assert make_documents(6).apply(update) == spread.document(7, 60)
+    assert make_documents(5).apply(update) is None
 
 
-def test_box_that_lacks_many_changes_gets_the_whole_document() -> None:
-    news = kept(*range(1, 9)).news_for(2)
-    assert news is not None
-    assert news.base == config_documents.NO_BASE
-    assert kept().document_in(news) == spread.document(8, 60)
-    assert kept(8).news_for(8) is None
+def test_box_that_lacks_many_changes_gets_the_full_document() -> None:
+    update = make_documents(*range(1, 9)).update_for(2)
+    assert update is not None
+    assert update.base == config_documents.NO_BASE
+    assert make_documents().apply(update) == spread.document(8, 60)
+    assert make_documents(8).update_for(8) is None
 
 
-def test_difference_from_another_document_of_that_version_is_refused() -> None:
-    news = kept(5, 6).news_for(5)
-    assert news is not None
+def test_delta_to_another_document_of_that_version_is_rejected() -> None:
+    update = make_documents(5, 6).update_for(5)
+    assert update is not None
     other = config_documents.ConfigDocuments()
-    other.keep(5, spread.document(5, 61))
+    other.add(5, spread.document(5, 61))
     with pytest.raises(config_documents.errors.PeerError):
-        other.document_in(news)
+        other.apply(update)
 
 
-async def test_news_count_whoever_brings_them_and_whenever(
+async def test_newer_configuration_is_applied_from_any_peer(
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
     await boxes.until(lambda: box.picture.version == 7)
     spec = spread.document(9, 3)
     newer = config_documents.ConfigDocuments()
-    newer.keep(9, spec)
-    news = newer.news_for(0)
-    assert news is not None
-    broken = dataclasses.replace(news, difference=b"rubbish")
-    box.sync._on_config_news("box-2", broken)
+    newer.add(9, spec)
+    update = newer.update_for(0)
+    assert update is not None
+    broken = dataclasses.replace(update, delta=b"rubbish")
+    box.sync._on_config_update("box-2", broken)
     assert box.picture.version == 7
-    box.sync._on_config_news("box-2", news)
+    box.sync._on_config_update("box-2", update)
     assert box.picture.version == 9
     stale = peer_messages.ConfigNews(8, 0, 0, b"")
-    box.sync._on_config_news("box-2", stale)
+    box.sync._on_config_update("box-2", stale)
     assert box.picture.version == 9
 
 
-async def test_box_whose_document_differs_asks_for_the_whole_one(
+async def test_box_whose_document_differs_requests_the_full_one(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It asked again for what differs from a document that it does not have.
+    # Guards against requesting a delta to a document that the box lacks.
     box = fleet.gateways[0]
     await boxes.until(lambda: box.picture.version == 7)
     asked: list[peer_messages.AskView] = []
@@ -171,20 +171,20 @@
         return True
 
     monkeypatch.setattr(box.sync._peers, "send", send)
-    other = kept(7, 8)
-    news = other.news_for(7)
-    assert news is not None
-    box.sync._on_config_news("box-2", news)
+    other = make_documents(7, 8)
+    update = other.update_for(7)
+    assert update is not None
+    box.sync._on_config_update("box-2", update)
     assert [message.version for message in asked] == [0]
-    whole = other.news_for(0)
+    whole = other.update_for(0)
     assert whole is not None
-    box.sync._on_config_news("box-2", whole)
+    box.sync._on_config_update("box-2", whole)
     assert box.picture.version == 8
-    box.sync._ask("box-3")
+    box.sync._query("box-3")
     assert asked[-1].version == 8
 
 
-async def test_box_that_lags_says_that_it_is_not_ready(
+async def test_lagging_box_reports_that_it_is_not_ready(
     fleet: boxes.Boxes,
 ) -> None:
     await requests.two_plain(fleet)
@@ -194,12 +194,12 @@
     assert not box.dump()["ready"]
 
 
-# Which box reads, and how often.
+# Election of the reader, and its interval.
 
 
 def test_box_with_the_widest_link_reads() -> None:
-    # The reader of a group was drawn without regard to its link, and one of 5
-    # Mbit/s was to take 370 kB in each 0.6 s.
+    # Guards against electing a reader without regard to its bandwidth: a box
+    # with 5 Mbit/s would have to read 370 kB every 0.6 s.
     wide = store_readers.PeerAge("wide", True, 0.1, 12_500)
     thin = [store_readers.PeerAge(f"b{n}", False, 0.1, 625) for n in range(20)]
     own = store_readers.ReaderRole("own", 625)
@@ -210,7 +210,7 @@
     assert widest.first
 
 
-def test_large_documents_are_asked_for_less_often_over_thin_links() -> None:
+def test_large_documents_are_read_less_often_over_slow_links() -> None:
     pause = store_readers.confirm_interval_s
     assert pause(15_000, 625_000.0) == store_readers.CONFIRM_INTERVAL_S
     assert pause(370_000, 12_500_000.0) == store_readers.CONFIRM_INTERVAL_S
--- a/tests/test_ending_requests.py
+++ b/tests/test_ending_requests.py
@@ -1,11 +1,11 @@
-"""Requests under which endpoints end, sent again and again.
+"""Requests that crash endpoints and are sent repeatedly.
 
-On six boxes before five engines one request ended ten engines in 13 seconds,
-another one twelve. Its client sent it again each time, with another id and to
-another box, and no box knew that endpoints had ended under it before: the log
-had 9,424 prompt tokens at every end and no answer to them. A box that might
-repeat it sent it to the next engine as soon as the first had ended. After the
-third end, three more arrivals are borne from when all boxes can know of it.
+Guards against a request that crashes one endpoint after the other: with six
+boxes and five engines, one request crashed ten engines in 13 seconds and
+another one twelve. The client resends it with a new id to another box, which
+does not know of the earlier crashes, and a box that may retry it sends it to
+the next engine as soon as the first has crashed. After the third crash, three
+more arrivals are tolerated from the time when all boxes can know of it.
 """
 
 import dataclasses
@@ -15,8 +15,8 @@
 from martenjunction_lab import ending_requests
 from tests import routing_builders as builders
 
-# Arrivals that are borne after the third end is known.
-MOST_LATE = 3
+# Number of arrivals tolerated after the third crash is known.
+MAX_LATE_ARRIVALS = 3
 
 SHORT = ending_requests.Trial(seconds=6.0, back_s=1.0)
 INNOCENT = dataclasses.replace(
@@ -24,11 +24,11 @@
 )
 
 
-async def play(
+async def run_trial(
     trial: ending_requests.Trial, **changes: object
 ) -> ending_requests.Outcome:
-    played = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
-    fleet = ending_requests.EndingFleet(played)
+    changed_trial = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
+    fleet = ending_requests.EndingFleet(changed_trial)
     return await fleet.run(builders.config_document())
 
 
@@ -46,21 +46,21 @@
 async def test_request_that_ends_endpoints_is_stopped(
     changes: dict[str, object],
 ) -> None:
-    seen = await play(SHORT, **changes)
-    assert seen.ended >= ending_requests.KNOWN_AFTER
-    assert seen.late_arrivals <= MOST_LATE
+    outcome = await run_trial(SHORT, **changes)
+    assert outcome.ended >= ending_requests.KNOWN_AFTER
+    assert outcome.late_arrivals <= MAX_LATE_ARRIVALS
 
 
 async def test_boxes_that_start_later_know_of_it() -> None:
-    seen = await play(SHORT, seconds=9.0, replaced=True)
-    assert seen.late_arrivals <= MOST_LATE
+    outcome = await run_trial(SHORT, seconds=9.0, replaced=True)
+    assert outcome.late_arrivals <= MAX_LATE_ARRIVALS
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe", "digest", "chat"])
 async def test_popular_request_is_served_while_endpoints_end(
     kind: str,
 ) -> None:
-    seen = await play(INNOCENT, kind=kind)
-    assert seen.own_ends == INNOCENT.own_ends
-    assert seen.innocent_shut_out == 0
-    assert seen.alike[200] > 0
+    outcome = await run_trial(INNOCENT, kind=kind)
+    assert outcome.own_ends == INNOCENT.own_ends
+    assert outcome.innocent_shut_out == 0
+    assert outcome.alike[200] > 0
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -1,12 +1,11 @@
-"""Endpoints that say in their answers that they leave.
-
-While the store was silent, an engine began to leave; its entry could not say
-so, but all its answers did, by `Server-Leaving: 1`. The store took the entry
-12.8 s later, at 20.31 s. At 19.885 s the box that had passed on such an answer
-at 10.52 s sent the engine another request: its log had no line of it before
-`endpoints-left` at 20.311 s. Two seconds are borne. Of the other boxes each
-would have had to be told by an answer of its own. No head of an answer was
-searched for it; that an endpoint leaves was known from its entry alone.
+"""Endpoints that announce in their answers that they are leaving.
+
+Guards against boxes that learn of a leaving endpoint only from its entry in the
+store. While the store is down, only `Server-Leaving: 1` in the endpoint's
+answers shows it: in an outage the entry was written 12.8 s late, and a box sent
+a request 9.4 s after it had forwarded such an answer, where 2 s are tolerated.
+Boxes also share the announcement, as otherwise each of them would need an
+answer of its own.
 """
 
 import contextlib
@@ -29,36 +28,36 @@
 SHORT = telling_endpoints.Trial(from_s=1.0, seconds=5.0)
 
 
-async def play(
+async def run_trial(
     trial: telling_endpoints.Trial, **changes: object
 ) -> tuple[telling_endpoints.TellingFleet, telling_outcome.Outcome]:
-    played = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
-    fleet = telling_endpoints.TellingFleet(played)
+    changed_trial = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
+    fleet = telling_endpoints.TellingFleet(changed_trial)
     return fleet, await fleet.run(builders.patient_config_document())
 
 
 @pytest.mark.parametrize("word", [Word.LEAVING, Word.LEAVING_THEN_REFUSING])
-async def test_endpoint_that_says_that_it_leaves_gets_no_more_work(
+async def test_endpoint_that_announces_leaving_gets_no_more_work(
     word: Word,
 ) -> None:
-    _, seen = await play(SHORT, word=word)
-    assert seen.words
-    assert seen.late_from_told == 0
-    assert seen.late_from_any == 0
-    assert seen.served >= 0.99 * seen.sent
-
-
-async def test_endpoint_that_started_again_gets_work_again() -> None:
-    fleet, seen = await play(SHORT, back_at_s=2.0)
-    assert seen.late_from_told == 0
-    assert seen.barred == 0
-    work = seen.work_of_returned(fleet.names(trial_fleet.PLAIN))
+    _, outcome = await run_trial(SHORT, word=word)
+    assert outcome.words
+    assert outcome.late_from_told == 0
+    assert outcome.late_from_any == 0
+    assert outcome.served >= 0.99 * outcome.sent
+
+
+async def test_restarted_endpoint_gets_work_again() -> None:
+    fleet, outcome = await run_trial(SHORT, back_at_s=2.0)
+    assert outcome.late_from_told == 0
+    assert outcome.barred == 0
+    work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     assert len(work) == SHORT.tell_plain
     assert all(work)
 
 
-class Leaver(replica.Replica):
-    """A replica that says in all its answers that it leaves."""
+class LeavingReplica(replica.Replica):
+    """A replica that announces in all its answers that it is leaving."""
 
     def _notices(
         self, request: replica.Received, status: int
@@ -66,9 +65,11 @@
         return {"Server-Leaving": "1"}
 
 
-async def leaver(fleet: boxes.Boxes, service: str) -> Leaver:
-    """Returns a leaver, the only replica of its service."""
-    made = Leaver("i-1")
+async def start_leaving_replica(
+    fleet: boxes.Boxes, service: str
+) -> LeavingReplica:
+    """Starts and returns a leaver as the only replica of its service."""
+    made = LeavingReplica("i-1")
     await made.start()
     fleet.replicas.append(made)
     fleet.record(made, service)
@@ -89,11 +90,11 @@
         ("/chat/", Behaviour.SERVE),
     ],
 )
-async def test_any_answer_tells_it(
+async def test_any_answer_can_announce_leaving(
     fleet: boxes.Boxes, path: str, behaviour: Behaviour
 ) -> None:
     service = builders.ENGINE if path == "/chat/" else builders.PLAIN
-    made = await leaver(fleet, service)
+    made = await start_leaving_replica(fleet, service)
     made.always(behaviour)
     with contextlib.suppress(errors.TransportError):
         await requests.ask(fleet, path)
@@ -101,24 +102,24 @@
     assert not fleet.gateways[0].listed.may_send(made.id)
 
 
-async def test_health_check_tells_it(fleet: boxes.Boxes) -> None:
-    made = await leaver(fleet, builders.PLAIN)
+async def test_health_check_can_announce_leaving(fleet: boxes.Boxes) -> None:
+    made = await start_leaving_replica(fleet, builders.PLAIN)
     box = fleet.gateways[0]
     await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
     assert not box.listed.may_send(made.id)
 
 
-async def test_another_endpoint_at_its_address_does_not_tell_it(
+async def test_announcement_of_another_endpoint_is_ignored(
     fleet: boxes.Boxes,
 ) -> None:
-    made = await leaver(fleet, builders.PLAIN)
+    made = await start_leaving_replica(fleet, builders.PLAIN)
     made.always(Behaviour.MISDIRECTED)
     await requests.ask(fleet, "/safe/")
     assert made.received
     assert fleet.gateways[0].listed.may_send(made.id)
 
 
-async def test_request_that_waits_for_a_connection_is_judged_again(
+async def test_request_that_waits_for_a_connection_is_routed_again(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     await requests.begin_at_one_that_changes(
--- a/tests/test_leaving_spread.py
+++ b/tests/test_leaving_spread.py
@@ -1,4 +1,4 @@
-"""How all boxes hear of an endpoint that says that it leaves."""
+"""Propagation of an endpoint's announcement that it is leaving."""
 
 import asyncio
 import dataclasses
@@ -16,58 +16,58 @@
 rev = builders.rev
 
 
-def start(number: int) -> model.Endpoint:
+def endpoint_start(number: int) -> model.Endpoint:
     return dataclasses.replace(builders.endpoint(f"e1/{number}"), name="e1")
 
 
 def listed() -> endpoint_list.EndpointList:
     made = endpoint_list.EndpointList()
-    made.take_listing([(start(1), rev(3))], rev(5), now=0.0)
+    made.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     return made
 
 
-def test_own_word_holds_though_the_entry_says_ready() -> None:
+def test_announcement_overrides_a_ready_entry() -> None:
     known = listed()
     assert known.say_leaving("e1/1")
     assert not known.say_leaving("e1/1")
-    known.take_change(start(1), rev(6))
-    known.take_listing([(start(1), rev(7))], rev(8), now=1.0)
-    known.take_view([(start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
+    known.take_change(endpoint_start(1), rev(6))
+    known.take_listing([(endpoint_start(1), rev(7))], rev(8), now=1.0)
+    known.take_view([(endpoint_start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
     assert known.ready_ids() == []
 
 
-def test_own_word_holds_though_the_entry_went_and_came_back() -> None:
+def test_announcement_outlives_a_removed_and_restored_entry() -> None:
     known = listed()
     known.say_leaving("e1/1")
     known.store_lost()
     known.take_listing([], rev(6), now=1.0)
     known.store_returned(9.0, away_s=8.0)
-    known.take_change(start(1), rev(7))
+    known.take_change(endpoint_start(1), rev(7))
     assert known.ready_ids() == []
 
 
-def test_word_of_an_endpoint_that_is_listed_later_holds() -> None:
+def test_announcement_applies_to_an_endpoint_listed_later() -> None:
     known = endpoint_list.EndpointList()
     assert known.say_leaving("e1/1")
-    known.take_listing([(start(1), rev(3))], rev(5), now=0.0)
+    known.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     assert known.ready_ids() == []
 
 
-def test_endpoint_that_starts_again_has_said_nothing() -> None:
+def test_restarted_endpoint_is_available() -> None:
     known = listed()
     known.say_leaving("e1/1")
-    known.take_change(start(2), rev(6))
+    known.take_change(endpoint_start(2), rev(6))
     assert known.ready_ids() == ["e1/2"]
 
 
-def test_what_another_box_does_not_send_to_leaves() -> None:
+def test_endpoint_missing_from_a_peer_view_is_unavailable() -> None:
     known = listed()
-    # Its entry says ready, and the box that tells it sends it nothing.
-    known.take_view([(start(1), rev(9))], set(), rev(9), 1.0)
+    # Its entry is ready, but the sender of the view does not use it.
+    known.take_view([(endpoint_start(1), rev(9))], set(), rev(9), 1.0)
     assert known.ready_ids() == []
 
 
-def test_words_are_bounded() -> None:
+def test_number_of_announcements_is_bounded() -> None:
     known = listed()
     for number in range(2 * endpoint_list.MAX_LEAVING):
         known.say_leaving(f"e{number}")
@@ -75,7 +75,7 @@
 
 
 class Fleet:
-    """87 boxes that tell one another of endpoints that leave."""
+    """87 boxes that exchange announcements of leaving endpoints."""
 
     def __init__(self) -> None:
         self.linked = linked_boxes.LinkedBoxes()
@@ -93,18 +93,18 @@
 
 
 @pytest.mark.parametrize("tellers", [1, 20])
-async def test_all_boxes_hear_of_it_by_few_messages(tellers: int) -> None:
+async def test_all_boxes_learn_of_it_with_few_messages(tellers: int) -> None:
     fleet = Fleet()
     for name in list(fleet.syncs)[:tellers]:
         fleet.syncs[name].say_leaving("e1/1")
     for _ in range(10):
         await asyncio.sleep(0)
     assert not any(known.ready_ids() for known in fleet.lists.values())
-    # Each box tells it once.
+    # Each box broadcasts it once.
     assert fleet.linked.sent <= fleet.linked.links
 
 
-async def test_box_that_was_not_connected_is_told() -> None:
+async def test_newly_connected_box_is_notified() -> None:
     fleet = Fleet()
     fleet.lists["box-0"].say_leaving("e1/1")
     fleet.linked.nodes["box-0"].emitter.emit(events.PEER_CONNECTED, "box-1")
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -1,10 +1,10 @@
-"""A store that comes back from a copy that is some seconds old.
+"""A store that is restored from a copy that is some seconds old.
 
-What was acknowledged since the copy is gone, and its revisions are given out
-again; what the operator and the endpoints wrote is written again. Boxes hold
-the higher revisions of before, and take news with lower ones for old: an
-endpoint that then said `draining` went on getting work from all boxes. The
-entry of a box that joined since the copy was not written again.
+Writes acknowledged after the copy are lost and their revisions are reused; the
+operator and the endpoints repeat their writes. These tests guard against boxes
+that compare the new revisions with the higher ones they hold and drop updates
+as stale, so that a draining endpoint keeps getting requests, and against a
+missing entry of a box that joined after the copy.
 """
 
 from collections.abc import AsyncIterator
@@ -16,7 +16,7 @@
 from martenjunction_lab import replica
 from tests import routing_builders as builders
 
-# Revisions that are given out between the copy and the outage.
+# Number of revisions written between the copy and the outage.
 BETWEEN = (5, 200)
 
 
@@ -30,17 +30,19 @@
     await made.stop()
 
 
-async def go_back(fleet: boxes.Boxes, revisions: int) -> replica.Replica:
-    """Has the store go back to a copy, and all others write again.
+async def restore_and_rewrite(
+    fleet: boxes.Boxes, revisions: int
+) -> replica.Replica:
+    """Restores the store from a copy and repeats the endpoints' writes.
 
     Between the copy and the outage a box and an endpoint join.
 
     Args:
         fleet: Boxes and their store.
-        revisions: That are given out meanwhile.
+        revisions: Number of unrelated writes between the copy and the outage.
 
     Returns:
-        The endpoint that joined, whose entry is there again.
+        The endpoint that joined, whose entry is written again.
     """
     copy = fleet.store.copy()
     await fleet.add_box("box-late")
@@ -63,10 +65,10 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_endpoint_that_leaves_then_gets_no_more_work(
+async def test_endpoint_that_drains_after_a_restore_gets_no_more_work(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    made = await go_back(fleet, revisions)
+    made = await restore_and_rewrite(fleet, revisions)
     fleet.record(made, builders.PLAIN, state="draining")
     await boxes.until(
         lambda: not any(box.listed.may_send(made.id) for box in fleet.gateways)
@@ -74,10 +76,10 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_endpoint_that_joins_then_gets_work(
+async def test_endpoint_that_joins_after_a_restore_gets_work(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    await go_back(fleet, revisions)
+    await restore_and_rewrite(fleet, revisions)
     made = await fleet.add_replica(builders.PLAIN)
     await boxes.until(
         lambda: all(box.listed.may_send(made.id) for box in fleet.gateways)
@@ -85,19 +87,19 @@
 
 
 @pytest.mark.parametrize("revisions", BETWEEN)
-async def test_configuration_that_is_written_then_is_in_force(
+async def test_configuration_written_after_a_restore_is_in_force(
     fleet: boxes.Boxes, revisions: int
 ) -> None:
-    await go_back(fleet, revisions)
+    await restore_and_rewrite(fleet, revisions)
     fleet.configure(builders.config_document(9))
     await boxes.until(
         lambda: all(box.picture.version == 9 for box in fleet.gateways)
     )
 
 
-async def test_entry_of_a_box_that_the_copy_lacks_is_written_again(
+async def test_box_entry_missing_from_the_copy_is_written_again(
     fleet: boxes.Boxes,
 ) -> None:
-    await go_back(fleet, BETWEEN[0])
+    await restore_and_rewrite(fleet, BETWEEN[0])
     kind = "martenjunction-boxes"
     await boxes.until(lambda: fleet.store.find(kind, "box-late") is not None)
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -1,4 +1,4 @@
-"""How fast 87 boxes hear of a suspected request, and by how many messages."""
+"""Propagation time and message count of suspected requests in 87 boxes."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class Node:
-    """What one box knows of suspects."""
+    """The suspect table and suspect sync of one box."""
 
     def __init__(self, linked: linked_boxes.Node) -> None:
         self.name = linked.name
@@ -37,11 +37,11 @@
         ruling = self.table.judge(KEY, frozenset(), 0.0)
         changed = self.table.note_end(KEY, SERVICE, endpoint, ruling, "v1", 0.0)
         assert changed is not None
-        self.sync.tell(changed)
+        self.sync.announce(changed)
 
 
 class Fleet:
-    """Boxes that tell one another of suspects."""
+    """Boxes that exchange records of suspected requests."""
 
     def __init__(self) -> None:
         self._linked = linked_boxes.LinkedBoxes()
@@ -56,7 +56,7 @@
         return self._linked.sent
 
     async def round(self) -> None:
-        """Lets all messages arrive, and all boxes pass on what they heard."""
+        """Delivers all messages and lets all boxes forward changes."""
         for _ in range(5):
             await asyncio.sleep(0)
         for node in self.nodes.values():
@@ -77,16 +77,16 @@
     sent = fleet.sent
     for _ in range(5):
         await fleet.round()
-    # Nobody goes on telling what all know.
+    # Messages stop once all boxes know it.
     assert fleet.sent <= sent + fleet.links
     assert sent <= 2 * fleet.links
 
 
 @pytest.mark.parametrize("at_once", [1, 20])
-async def test_one_end_that_many_boxes_see_takes_few_messages(
+async def test_crash_seen_by_many_boxes_takes_few_messages(
     at_once: int,
 ) -> None:
-    # Twenty boxes had a run at the endpoint that ended, each its own content.
+    # Each box had a run with its own content at the endpoint that crashed.
     fleet = Fleet()
     nodes = list(fleet.nodes.values())
     for number, node in enumerate(nodes[:at_once]):
@@ -94,15 +94,15 @@
         ruling = node.table.judge(key, frozenset(), 0.0)
         changed = node.table.note_end(key, SERVICE, "e1", ruling, "v1", 0.0)
         assert changed is not None
-        node.sync.tell(changed)
+        node.sync.announce(changed)
     for _ in range(8):
         await fleet.round()
     assert all(len(node.table) == at_once for node in nodes)
-    # Passed on one by one it would be that many times the links.
+    # Without batching there would be `at_once` messages per link.
     assert fleet.sent <= 4 * fleet.links
 
 
-async def test_quarantine_by_the_box_of_the_last_run_holds_for_all() -> None:
+async def test_quarantine_by_one_box_applies_to_all() -> None:
     fleet = Fleet()
     judge = fleet.nodes["box-80"]
     for number in range(50):
@@ -116,7 +116,7 @@
     assert all(node.known.quarantined for node in fleet.nodes.values())
 
 
-async def test_box_that_missed_a_clearing_is_told_of_it() -> None:
+async def test_box_that_missed_a_clearing_is_notified() -> None:
     fleet = Fleet()
     away = fleet.nodes["box-0"]
     for node in fleet.nodes.values():
