--- a/martenjunction/peers/__init__.py
+++ b/martenjunction/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that daemons say to one another."""
+"""Communication between daemons."""
--- a/martenjunction/peers/codec.py
+++ b/martenjunction/peers/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages in CBOR: a list of the tag and the fields in order."""
+"""Encodes typed messages in CBOR as a list of the tag and the fields."""
 
 import dataclasses
 from typing import Any
@@ -12,10 +12,10 @@
 
 T = TypeVar("T")
 
-# The version of the messages; daemons of unlike versions do not talk.
+# Version of the protocol. Daemons with different versions do not connect.
 PROTOCOL = 8
 
-# The largest message that is read, in bytes.
+# Maximum size of a received message in bytes.
 MAX_MESSAGE = 4 * 1024 * 1024
 
 message_types: registry.Registry[type[Any]] = registry.Registry("message")
@@ -25,13 +25,13 @@
 
 
 def message(tag: str, urgent: bool = False, replaces: bool = False) -> Any:
-    """Returns a decorator that makes a data class a message.
+    """Returns a decorator that registers a data class as a message type.
 
     Args:
-        tag: Names the message on the wire.
-        urgent: Whether it goes before others that wait for a connection.
-        replaces: Whether it takes the place of an earlier one that was not
-            sent yet; its method `after` returns what then is to be sent.
+        tag: Identifies the message type on the wire.
+        urgent: Whether the message is sent before other queued messages.
+        replaces: Whether the message replaces a queued message of the same
+            type. Its method `after` then returns the merged message.
     """
 
     def decorate(cls: type[T]) -> type[T]:
@@ -47,7 +47,7 @@
 
 
 class Encoded:
-    """A message as bytes, so that one for many peers is encoded once."""
+    """An encoded message; a broadcast message is encoded only once."""
 
     __slots__ = ("data", "tag", "value")
 
@@ -58,59 +58,64 @@
 
     @property
     def urgent(self) -> bool:
-        """Whether it goes before others that wait for a connection."""
+        """Whether the message is sent before other queued messages."""
         return self.tag in _urgent
 
     @property
     def replaces(self) -> bool:
-        """Whether it takes the place of one that was not sent yet."""
+        """Whether the message replaces a queued message of its type."""
         return self.tag in _replacing
 
 
 def join(messages: list[Encoded]) -> bytes:
-    """Returns the bytes of some messages."""
-    # An array of the messages, whose number its head gives (RFC 8949, 3.1).
+    """Returns the CBOR encoding of a batch of encoded messages."""
+    # The array's head gives the number of its items (RFC 8949, 3.1).
     head = cbor2.dumps([None] * len(messages))[: -len(messages) or None]
     return b"".join((head, *(message.data for message in messages)))
 
 
 def encode_batch(values: list[Any]) -> bytes:
-    """Returns the bytes of some messages."""
+    """Returns the CBOR encoding of a batch of messages."""
     return join([Encoded(value) for value in values])
 
 
 def decode_batch(data: bytes) -> list[Any]:
-    """Returns the messages in some bytes from a peer.
+    """Decodes a batch of messages from a peer.
 
     Raises:
-        PeerError: If they hold none, or one with fields of a wrong type.
+        PeerError: If the data is not a batch of messages, or if a message is
+            unknown or has fields of the wrong number or type.
     """
     try:
         batch = cbor2.loads(data)
     except Exception as error:
-        # The decoder raises several kinds of error on rubbish.
-        raise errors.PeerError(f"not CBOR: {error}") from error
+        # The decoder raises several types of error for malformed input.
+        raise errors.PeerError(f"malformed CBOR: {error}") from error
     if not isinstance(batch, list):
-        raise errors.PeerError("not a list of messages")
+        raise errors.PeerError("a batch is not a list of messages")
     return [_decode(parts) for parts in batch]
 
 
 def _decode(parts: Any) -> Any:
     if not isinstance(parts, list) or not parts:
-        raise errors.PeerError("not a message")
+        raise errors.PeerError("a message is not a list that starts with a tag")
     tag = parts[0]
     if not isinstance(tag, str) or tag not in message_types:
-        raise errors.PeerError(f"unknown message {tag!r}")
+        raise errors.PeerError(f"unknown message type {tag!r}")
     cls = message_types.get(tag)
     names = _shape(cls).names
     if len(names) != len(parts) - 1:
-        raise errors.PeerError(f"{tag} has {len(parts) - 1} fields")
+        raise errors.PeerError(
+            f"{tag} has an unexpected number of fields: {len(parts) - 1}"
+        )
     try:
         return msgspec.convert(
             _as_mapping(cls, names, parts[1:]), cls, builtin_types=(bytes,)
         )
     except msgspec.ValidationError as error:
-        raise errors.PeerError(f"{tag} is not valid") from error
+        raise errors.PeerError(
+            f"{tag} has a field of the wrong type"
+        ) from error
 
 
 def _fields(value: Any) -> list[Any]:
@@ -125,8 +130,8 @@
     """The fields of a data class.
 
     Attributes:
-        names: Their names in order.
-        inner: Those that hold a data class themselves.
+        names: The field names in order.
+        inner: The data class of each field that holds one.
     """
 
     names: tuple[str, ...]
@@ -137,7 +142,7 @@
 
 
 def _shape(cls: type[Any]) -> _Shape:
-    """Returns the fields of a data class, looked up once a class."""
+    """Returns the fields of a data class from a cache."""
     if cls not in _shapes:
         fields = dataclasses.fields(cls)
         inner = {
@@ -158,6 +163,6 @@
         inner_names = _shape(inner).names
         items = mapping[name]
         if not isinstance(items, list) or len(items) != len(inner_names):
-            raise errors.PeerError(f"{name} is not valid")
+            raise errors.PeerError(f"{name} has the wrong number of fields")
         mapping[name] = _as_mapping(inner, inner_names, items)
     return mapping
--- a/martenjunction/peers/document_delta.py
+++ b/martenjunction/peers/document_delta.py
@@ -1,7 +1,7 @@
-"""Documents as what differs from one that the other side has.
+"""Delta encoding of documents against a base that the peer has.
 
-A change of the configuration touches few routes or keys. Sent as a difference
-it takes some hundred bytes in place of 15 kB (48 routes) or 368 kB (1,460).
+A configuration change touches few routes or keys. As a delta it takes a few
+hundred bytes instead of 15 kB (48 routes) or 368 kB (1,460 routes).
 """
 
 from typing import Any
@@ -11,30 +11,31 @@
 
 from martenjunction import errors
 
-# Documents are parted behind this byte, so that each object of a JSON array is
-# a piece of its own.
+# Documents are split at this byte, so that each object of a JSON array is a
+# separate piece.
 _SEPARATOR = b"}"
 
-# The largest document and difference, in bytes: the store takes values of up
-# to 1 MB.
+# Maximum size of a document and of a decompressed delta in bytes. The store
+# accepts values of up to 1 MB.
 MAX_BYTES = 4 * 1024 * 1024
 
-# The fastest level: 368 kB of JSON take 2.6 ms and become 27 kB.
+# The fastest level compresses 368 kB of JSON to 27 kB in 2.6 ms.
 _LEVEL = 1
 
 
 def encode(base: bytes, target: bytes) -> bytes:
-    """Returns what `target` is beside `base`.
+    """Returns the compressed delta from `base` to `target`.
 
     Args:
-        base: The document that the other side has; empty for none.
-        target: The document that it is to have.
+        base: The document that the peer has, or empty if it has none.
+        target: The document to send.
     """
     places: dict[bytes, int] = {}
     pieces = base.split(_SEPARATOR)
     for number, piece in enumerate(pieces):
         places.setdefault(piece, number)
-    # Runs of the base's pieces, as first and count, and bytes of the target.
+    # Each part is either a run of pieces of the base, as the first index and
+    # the count, or literal bytes of the target.
     parts: list[Any] = []
     fresh: list[bytes] = []
 
@@ -59,14 +60,15 @@
 
 
 def apply(base: bytes, difference: bytes) -> bytes:
-    """Returns the document that a difference leads to.
+    """Returns the document that results from applying a delta.
 
     Args:
-        base: The document that it starts from.
-        difference: What `encode` returned.
+        base: The document that the delta was encoded against.
+        difference: The delta as returned by `encode`.
 
     Raises:
-        PeerError: If it is no difference from this document.
+        PeerError: If the delta is malformed, does not fit the base, or results
+            in a document of more than `MAX_BYTES`.
     """
     pieces = base.split(_SEPARATOR)
     made: list[bytes] = []
@@ -75,7 +77,7 @@
         found = [part] if isinstance(part, bytes) else _run(pieces, part)
         size += sum(len(piece) + 1 for piece in found)
         if size > MAX_BYTES + 1:
-            raise errors.PeerError("a document is too large")
+            raise errors.PeerError("the document is too large")
         made += found
     return _SEPARATOR.join(made)
 
@@ -89,19 +91,19 @@
     try:
         parts = cbor2.loads(unpacking.decompress(difference, MAX_BYTES))
     except Exception as error:
-        # The decoders raise several kinds of error on rubbish.
-        raise errors.PeerError(f"not a difference: {error}") from error
+        # The decoders raise several types of error for malformed input.
+        raise errors.PeerError(f"malformed delta: {error}") from error
     if not isinstance(parts, list):
-        raise errors.PeerError("not a difference")
+        raise errors.PeerError("a delta is not a list of parts")
     return parts
 
 
 def _run(pieces: list[bytes], part: Any) -> list[bytes]:
     if not isinstance(part, list) or len(part) != 2:
-        raise errors.PeerError("not a run of pieces")
+        raise errors.PeerError("a part of a delta is not a run of pieces")
     first, count = part
     if type(first) is not int or type(count) is not int:
-        raise errors.PeerError("not a run of pieces")
+        raise errors.PeerError("a run of pieces is not a pair of integers")
     if first < 0 or count < 1 or first + count > len(pieces):
-        raise errors.PeerError("a run beyond the document")
+        raise errors.PeerError("a run of pieces exceeds the base document")
     return pieces[first : first + count]
--- a/martenjunction/peers/flow.py
+++ b/martenjunction/peers/flow.py
@@ -1,8 +1,9 @@
-"""How many frames a peer has not taken, so that no more are sent to it.
+"""Flow control by the number of frames that a peer has not acknowledged.
 
-Each frame begins with the number of frames that its sender has taken from the
-other side. What a peer does not take in time would wait before its next news:
-a full socket buffer holds some 400 statuses, and a box has 36 peers.
+Each frame starts with the number of frames that its sender has processed, as an
+acknowledgment. Without a limit, status messages that a slow peer has not read
+would delay urgent messages: a full socket buffer holds some 400 status
+messages, and a box has 36 peers.
 """
 
 import collections
@@ -12,21 +13,22 @@
 
 from martenjunction import errors
 
-# Frames that a peer has not taken, from which on it is sent no more statuses.
-# Two are under way where one side tells each 0.2 s and the other each 0.5 s.
+# Unacknowledged frames at which a peer is sent no more status messages. Two are
+# in flight where one side sends every 0.2 s and the other every 0.5 s.
 MOST_UNTAKEN = 3
 
-# The same before a peer has taken one in time, and for some seconds after it
-# took one late: what 36 peers have under way waits before any news. Peers that
-# keep up say so within 0.7 s.
+# The limit before a peer's first acknowledgment in time, and for `LATE_FOR_S`
+# seconds after one that took more than `LATE_S` seconds: urgent messages wait
+# behind the frames that are in flight to 36 peers. Peers that keep up send an
+# acknowledgment within 0.7 s.
 MOST_UNTAKEN_IF_LATE = 1
 LATE_S = 1.2
 LATE_FOR_S = 10.0
 
-# Frames taken from a peer after which it is told, and seconds without a frame
-# to it after which it is told of any; with an empty frame if nothing else is
-# to be sent. Without the second, two sides that each wait for the other's word
-# would wait for ever.
+# An acknowledgment is due after this many processed frames, or after this many
+# seconds without a frame to the peer if any were processed. It is sent in an
+# empty frame if nothing else is queued. Without the time limit, two sides that
+# wait for each other's acknowledgment would deadlock.
 TOLD_AFTER = 2
 TOLD_AFTER_S = 0.6
 
@@ -35,13 +37,13 @@
 
 
 class FlowControl:
-    """The frames of one connection, both ways."""
+    """Flow control of one connection in both directions."""
 
     def __init__(self, now: Callable[[], float]) -> None:
-        """Makes the control of a connection without frames.
+        """Initializes the flow control of a new connection.
 
         Args:
-            now: Returns seconds on the steady clock.
+            now: Returns the monotonic time in seconds.
         """
         self._now = now
         self._sent = 0
@@ -54,24 +56,25 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the peer keeps up, so that it may be sent statuses."""
+        """Whether the peer keeps up and may be sent status messages."""
         late = self._now() < self._late_until
         most = MOST_UNTAKEN_IF_LATE if late else MOST_UNTAKEN
         return self._sent - self._taken_there < most
 
     @property
     def owes_word(self) -> bool:
-        """Whether the peer has to be told what was taken from it."""
+        """Whether an acknowledgment to the peer is due."""
         untold = self._taken_here - self._told
         if untold >= TOLD_AFTER:
             return True
         return untold > 0 and self._now() - self._told_at >= TOLD_AFTER_S
 
     def begin_frame(self, has_messages: bool) -> bytes:
-        """Returns the head of a frame that is sent now.
+        """Returns the header of a frame that is about to be sent.
 
         Args:
-            has_messages: Whether it carries any; an empty one is not counted.
+            has_messages: Whether the frame has messages. An empty frame only
+                acknowledges and is not counted.
         """
         self._told_at = self._now()
         self._told = self._taken_here
@@ -81,17 +84,18 @@
         return _HEAD.pack(self._taken_here % _WRAP)
 
     def take_frame(self, frame: bytes) -> bytes:
-        """Takes a frame of the peer in; returns what follows its head.
+        """Processes the header of a received frame and returns the payload.
 
         Raises:
-            PeerError: If it has no head, or one that cannot be true.
+            PeerError: If the frame is shorter than a header, or acknowledges
+                more frames than were sent.
         """
         if len(frame) < _HEAD.size:
-            raise errors.PeerError("a frame without a head")
+            raise errors.PeerError("a frame is shorter than its header")
         [taken] = _HEAD.unpack_from(frame)
         news = (taken - self._taken_there) % _WRAP
         if news > self._sent - self._taken_there:
-            raise errors.PeerError("more frames taken than were sent")
+            raise errors.PeerError("more frames were acknowledged than sent")
         self._taken_there += news
         now = self._now()
         for _ in range(news):
@@ -102,5 +106,5 @@
         return frame[_HEAD.size :]
 
     def note_taken(self) -> None:
-        """Notes that the messages of a frame were taken in."""
+        """Records that the messages of a frame were processed."""
         self._taken_here += 1
--- a/martenjunction/peers/hub.py
+++ b/martenjunction/peers/hub.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to other daemons and hands their messages on."""
+"""Maintains connections to other daemons and dispatches messages."""
 
 import asyncio
 from collections.abc import Callable
@@ -26,27 +26,28 @@
 
 HEARTBEAT_INTERVAL = 0.5
 
-# Part of that time for which a message of the same kind that went to all for
-# another reason stands for the heartbeat, and seconds between two looks: 0.7 s
-# pass between two of them at most, and boxes count as silent after 1.2 s.
+# A heartbeat is due once this fraction of the interval has passed since the
+# last broadcast of a message of the same type, which replaces a heartbeat. A
+# timer checks this every `BEAT_LOOK_S` seconds, so that at most 0.7 s pass
+# between two of them; a box counts as silent after 1.2 s.
 DUE_PART = 0.9
 BEAT_LOOK_S = HEARTBEAT_INTERVAL / 2
 
-# Seconds without a word after which a connection is given up.
+# Seconds without a frame from the peer after which a connection is closed.
 SILENCE_LIMIT = 1.5
 
 FIRST_PAUSE = 0.1
 LONGEST_PAUSE = 2.0
 
-# How many boxes beyond its own availability zone a daemon keeps connections
-# to in each other one, once the fleet is too large for all.
+# Number of connections to each other availability zone in a fleet that is too
+# large for a full mesh.
 LINKS_TO_OTHER_ZONE = 2
 
 Receive = Callable[[str, Any], None]
 
 
 class PeerHub:
-    """All connections of one daemon to others."""
+    """The connections of a daemon to its peers."""
 
     def __init__(
         self,
@@ -60,19 +61,19 @@
         rng: random.Random | None = None,
         silence_limit: float = SILENCE_LIMIT,
     ) -> None:
-        """Makes a hub; `start` begins.
+        """Initializes the hub without opening connections.
 
         Args:
-            members: Who there is.
-            key: The key that daemons share.
-            clock: Tells the time.
-            emitter: Where connections that come and go are announced.
-            heartbeat: Makes the message that says how this daemon is.
+            members: The view of the fleet.
+            key: The shared secret of all daemons.
+            clock: Provides the time and periodic callbacks.
+            emitter: Receives an event when a peer connects or is lost.
+            heartbeat: Returns the current heartbeat or status message.
             listen: Address to listen on.
-            seeds: Addresses to call while nobody else is known.
-            rng: Jitter.
-            silence_limit: Seconds without a word after which a connection is
-                given up.
+            seeds: Addresses to connect to while no other daemon is known.
+            rng: Source of the jitter of the back-off.
+            silence_limit: Seconds without a frame from the peer after which a
+                connection is closed.
         """
         self._silence_limit = silence_limit
         self._members = members
@@ -95,28 +96,28 @@
 
     @property
     def refused(self) -> int:
-        """Connections that were dropped for what the peer said."""
+        """Number of connections closed for a protocol or key error."""
         return self._refused
 
     def subscribe(self, kind: type[Any], handler: Receive) -> None:
-        """Has `handler` called with the box and message of each of a type."""
+        """Sets the handler of a message type, called with box and message."""
         self._handlers[kind] = handler
 
     def reachable(self, box: str) -> bool:
-        """Returns whether a connection to a box stands."""
+        """Returns whether there is a connection to a box."""
         return bool(self._links.get(box))
 
     def boxes(self) -> list[str]:
-        """Returns the boxes that connections stand to."""
+        """Returns the connected boxes."""
         return [box for box, standing in self._links.items() if standing]
 
     def send(self, box: str, message: Any) -> bool:
-        """Sends a message; returns whether there was a connection."""
+        """Sends a message and returns whether the box was connected."""
         standing = self._links.get(box)
         return standing[0].send(message) if standing else False
 
     def broadcast(self, message: Any, zone: str | None = None) -> None:
-        """Sends a message to all connected peers, or to those of one zone."""
+        """Sends a message to all connected peers, or to the peers of a zone."""
         encoded = codec.Encoded(message)
         for standing in list(self._links.values()):
             if standing and zone in (None, standing[0].member.zone):
@@ -125,11 +126,11 @@
             self._beat_at = self._timers.listened()
 
     def want(self, box: str) -> None:
-        """Asks for a connection to a box beyond the usual ones."""
+        """Requests an additional connection to a box."""
         self._wanted.add(box)
 
     def traffic(self) -> links.LinkCounts:
-        """Returns what went over all connections so far."""
+        """Returns the total traffic of all open and closed connections."""
         total = links.LinkCounts()
         total.add(self._closed_counts)
         for link in self._all_links():
@@ -137,7 +138,7 @@
         return total
 
     async def start(self) -> None:
-        """Listens for peers and begins to call them."""
+        """Starts listening for peers and connecting to them."""
         host, port = addresses.split_address(self._listen)
         self._server = await ws_server.serve(
             self._answer,
@@ -152,7 +153,7 @@
         self._timers.subscribe("peers", HEARTBEAT_INTERVAL, self.dial)
 
     async def stop(self) -> None:
-        """Closes all connections."""
+        """Closes all connections and stops listening."""
         for task in self._dialing.values():
             task.cancel()
         for link in self._all_links():
@@ -161,7 +162,7 @@
             self._server.close()
 
     def dial(self) -> None:
-        """Calls the peers that we want a connection to and have none."""
+        """Starts connecting to target peers that are not connected."""
         targets = self._targets()
         if not targets and not self._links:
             targets = [_unnamed(address) for address in self._seeds]
@@ -188,8 +189,8 @@
                 by_zone.setdefault(member.zone, []).append(member)
         chosen: list[membership.Member] = []
         for members in by_zone.values():
-            # Each box has an order of its own: by name, the first two boxes
-            # of a zone would hold the links of all others.
+            # The order differs from box to box. Ordered by name, the first two
+            # boxes of a zone would get the connections of all other zones.
             order = rendezvous.ranked(
                 [m.box for m in members], self._members.own.box
             )
@@ -248,9 +249,9 @@
             await self._carry(links.Link(connection, member, self._timers))
         except errors.PeerError as error:
             self._refused += 1
-            logger.warning("%s is dropped: %s", box, error)
+            logger.warning("closing the connection to %s: %s", box, error)
         except ws_exceptions.ConnectionClosed:
-            logger.info("%s closed the connection", box)
+            logger.info("the connection to %s was closed", box)
         finally:
             if connection.transport is not None:
                 connection.transport.abort()
@@ -268,7 +269,9 @@
     def _receive(self, link: links.Link, message: Any) -> None:
         handler = self._handlers.get(type(message))
         if handler is None:
-            raise errors.PeerError(f"unexpected {type(message).__name__}")
+            raise errors.PeerError(
+                f"unexpected message {type(message).__name__}"
+            )
         handler(link.box, message)
 
     def _drop(self, link: links.Link) -> None:
@@ -287,7 +290,10 @@
         now = self._timers.listened()
         for link in self._all_links():
             if now - link.heard > self._silence_limit:
-                logger.warning("%s fell silent", link.box)
+                logger.warning(
+                    "closing the connection to %s: no frame within the timeout",
+                    link.box,
+                )
                 link.close()
             else:
                 link.look()
@@ -298,5 +304,5 @@
 
 
 def _unnamed(address: str) -> membership.Member:
-    """Returns a stand-in for a daemon whose name is not known yet."""
+    """Returns a placeholder for a daemon whose box is not known yet."""
     return membership.Member(address, "", "", "", address)
--- a/martenjunction/peers/links.py
+++ b/martenjunction/peers/links.py
@@ -27,14 +27,14 @@
 HANDSHAKE_TIMEOUT = 2.0
 NONCE_BYTES = 16
 
-# Bytes that are handed to a connection before its peer has taken them: what
-# waits beyond them can still be put in order.
+# High-water mark of a connection's write buffer in bytes. Messages beyond it
+# stay in the outbox, where they can still be reordered or replaced.
 WRITE_LIMIT = 8 * 1024
 
 
 @dataclasses.dataclass(slots=True)
 class LinkCounts:
-    """What went over a connection."""
+    """Traffic counters of a connection."""
 
     messages_in: int = 0
     messages_out: int = 0
@@ -45,7 +45,7 @@
     )
 
     def add(self, other: "LinkCounts") -> None:
-        """Adds what went over another connection."""
+        """Adds the counters of another connection."""
         self.messages_in += other.messages_in
         self.messages_out += other.messages_out
         self.bytes_in += other.bytes_in
@@ -54,20 +54,21 @@
 
 
 def proof(key: str, word: str, nonce: bytes, box: str) -> bytes:
-    """Returns the proof that the sender knows the key.
+    """Returns the HMAC by which a daemon proves that it knows the key.
 
     Args:
-        key: The key that daemons share.
-        word: Which side proves itself, so that no proof can be sent back.
-        nonce: The other side's random bytes.
-        box: Who proves itself.
+        key: The shared secret of all daemons.
+        word: The name of the sender's handshake message, which prevents that a
+            proof is reflected to its sender.
+        nonce: Random bytes from the verifying side.
+        box: The box that authenticates itself.
     """
     text = b"\x00".join((word.encode(), nonce, box.encode()))
     return hmac.digest(key.encode(), text, hashlib.sha256)
 
 
 class Link:
-    """A connection to one peer, once both sides have shown who they are."""
+    """An authenticated connection to one peer."""
 
     def __init__(
         self,
@@ -75,12 +76,12 @@
         member: membership.Member,
         clock: timers.Timers,
     ) -> None:
-        """Takes over a connection after the handshake.
+        """Initializes the link after the handshake.
 
         Args:
             connection: The websocket.
             member: The peer.
-            clock: Tells the time.
+            clock: Provides the time.
         """
         self._connection = connection
         self._member = member
@@ -103,19 +104,19 @@
 
     @property
     def heard(self) -> float:
-        """When the peer was last heard, on the clock of what was listened."""
+        """Time of the last frame received, from `Timers.listened`."""
         return self._heard
 
     @property
     def counts(self) -> LinkCounts:
-        """What went over the connection."""
+        """Traffic counters of the connection."""
         return self._counts
 
     def send(self, message: Any) -> bool:
-        """Queues a message; returns whether the connection stands.
+        """Queues a message and returns whether the connection is open.
 
         Args:
-            message: The message, or the bytes that it was encoded to before.
+            message: The message, or a `codec.Encoded` message.
         """
         if self._closed:
             return False
@@ -124,30 +125,32 @@
         try:
             self._unsent.put(message)
         except mailbox.MailboxFullError:
-            logger.warning("%s does not keep up", self.box)
+            logger.warning(
+                "closing the connection to %s: its outbox is full", self.box
+            )
             self.close()
             return False
         return True
 
     def look(self) -> None:
-        """Has the writer look whether the peer is owed a word."""
+        """Wakes the writer to send an acknowledgment if one is due."""
         self._unsent.wake()
 
     def close(self) -> None:
-        """Ends the connection without waiting for the peer."""
+        """Aborts the connection."""
         self._closed = True
         transport = self._connection.transport
         if transport is not None:
             transport.abort()
 
     async def run(self, receive: Callable[[Any], None]) -> None:
-        """Carries messages both ways until the connection ends.
+        """Sends and receives messages until the connection is closed.
 
         Args:
-            receive: Called with each message.
+            receive: Called with each received message.
 
         Raises:
-            PeerError: If the peer breaks the protocol.
+            PeerError: If the peer violates the protocol.
         """
         writer = asyncio.get_running_loop().create_task(self._write())
         try:
@@ -163,7 +166,7 @@
 
     def _read(self, frame: str | bytes, receive: Callable[[Any], None]) -> None:
         if isinstance(frame, str):
-            raise errors.PeerError("a text frame")
+            raise errors.PeerError("unexpected text frame")
         self._counts.bytes_in += len(frame)
         batch = codec.decode_batch(self._flow.take_frame(frame))
         for message in batch:
@@ -194,20 +197,20 @@
 async def answer(
     connection: ws.Connection, own: membership.Member, key: str
 ) -> membership.Member:
-    """Carries the handshake out on the side that was called.
+    """Performs the handshake on the accepting side.
 
     Raises:
-        PeerError: If the caller does not know the key or speaks another
-            version.
+        PeerError: If the caller does not know the key, uses another protocol
+            version, or does not complete the handshake in time.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     await _say(connection, messages.Challenge(codec.PROTOCOL, nonce))
     hello = await _hear(connection, messages.Hello)
     if hello.protocol != codec.PROTOCOL:
-        raise errors.PeerError(f"protocol version {hello.protocol}")
+        raise errors.PeerError(f"unsupported protocol version {hello.protocol}")
     wanted = proof(key, "hello", nonce, hello.box)
     if not hmac.compare_digest(wanted, hello.proof):
-        raise errors.PeerError(f"{hello.box} does not know the key")
+        raise errors.PeerError(f"{hello.box} did not prove that it has the key")
     await _say(
         connection,
         messages.Welcome(
@@ -226,15 +229,17 @@
 async def introduce(
     connection: ws.Connection, own: membership.Member, key: str
 ) -> membership.Member:
-    """Carries the handshake out on the calling side.
+    """Performs the handshake on the connecting side.
 
     Raises:
-        PeerError: If the called daemon does not know the key or speaks
-            another version.
+        PeerError: If the called daemon does not know the key, uses another
+            protocol version, or does not complete the handshake in time.
     """
     challenge = await _hear(connection, messages.Challenge)
     if challenge.protocol != codec.PROTOCOL:
-        raise errors.PeerError(f"protocol version {challenge.protocol}")
+        raise errors.PeerError(
+            f"unsupported protocol version {challenge.protocol}"
+        )
     nonce = secrets.token_bytes(NONCE_BYTES)
     await _say(
         connection,
@@ -253,7 +258,9 @@
     welcome = await _hear(connection, messages.Welcome)
     wanted = proof(key, "welcome", nonce, welcome.box)
     if not hmac.compare_digest(wanted, welcome.proof):
-        raise errors.PeerError(f"{welcome.box} does not know the key")
+        raise errors.PeerError(
+            f"{welcome.box} did not prove that it has the key"
+        )
     return _member(welcome)
 
 
@@ -277,10 +284,10 @@
         async with asyncio.timeout(HANDSHAKE_TIMEOUT):
             frame = await connection.recv()
     except (TimeoutError, ws_exceptions.ConnectionClosed) as error:
-        raise errors.PeerError("no handshake") from error
+        raise errors.PeerError("no frame during the handshake") from error
     if isinstance(frame, str):
-        raise errors.PeerError("a text frame")
+        raise errors.PeerError("unexpected text frame")
     for message in codec.decode_batch(frame):
         if isinstance(message, kind):
             return message
-    raise errors.PeerError("no handshake")
+    raise errors.PeerError(f"no {kind.__name__} in the handshake")
--- a/martenjunction/peers/membership.py
+++ b/martenjunction/peers/membership.py
@@ -1,39 +1,39 @@
-"""Which daemons there are: from the lagging list and from what is heard."""
+"""Fleet membership from the platform's delayed list and from heartbeats."""
 
 from collections.abc import Callable
 import dataclasses
 
 from martenjunction import timers
 
-# Seconds for which a daemon counts as live after it was last heard.
+# Seconds after its last heartbeat for which a daemon counts as live.
 HEARD_LIFETIME = 3.0
 
-# Seconds after which a list that calls a daemon live overrides the word that
-# it is leaving: it was started again meanwhile.
+# Seconds after which a list entry that reports a daemon as live overrides a
+# notification that it is leaving: it has been restarted meanwhile.
 LEAVING_LIFETIME = 60.0
 
-# Daemons up to which each is connected to all others; in a larger fleet it is
-# connected to those of its availability zone and to a few of each other one.
+# Maximum number of daemons in a full mesh. In a larger fleet, a daemon connects
+# to all daemons of its availability zone and to a few of each other zone.
 ALL_LINKS_UP_TO = 32
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One daemon.
+    """A daemon of the fleet.
 
     Attributes:
-        box: Its box.
+        box: Name of its box.
         zone: Its availability zone.
         callers: Its address for callers.
         operators: Its address for operators.
         peers: Its address for other daemons.
-        incarnation: Rises with each of its starts; 0 if only listed.
-        listed: Whether the platform's list calls it live.
-        leaving_since: When it was first known to be leaving, or None.
-        heard: When it was last heard, or None, on the clock of what was
-            listened.
-        held: Part of its capacity that is taken, as it last said.
-        listed_since: When it was first seen in the list, on that clock.
+        incarnation: Increases with each start; 0 if only listed.
+        listed: Whether the platform's list reports it as live.
+        leaving_since: Time when it was first known to be leaving, or None.
+        heard: Time of its last heartbeat or handshake, from
+            `Timers.listened`, or None.
+        held: Fraction of its capacity in use, from its last heartbeat.
+        listed_since: Time when it was first listed, from `Timers.listened`.
     """
 
     box: str
@@ -50,7 +50,10 @@
 
 
 class Membership:
-    """One daemon's view of the fleet; views may differ for seconds."""
+    """A daemon's view of the fleet.
+
+    The views of two daemons may differ for some seconds.
+    """
 
     def __init__(
         self,
@@ -58,12 +61,12 @@
         clock: timers.Timers,
         on_change: Callable[[], None],
     ) -> None:
-        """Makes a view that holds only this daemon.
+        """Initializes a view that contains only this daemon.
 
         Args:
             own: This daemon.
-            clock: Tells the time.
-            on_change: Called when the view changed.
+            clock: Provides the time.
+            on_change: Called after the view has changed.
         """
         self._own = own
         self._timers = clock
@@ -77,11 +80,11 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """All daemons ever heard of, to be read only."""
+        """All known daemons by box; callers must not modify it."""
         return self._members
 
     def believed(self) -> list[Member]:
-        """Returns the daemons that are believed live and not leaving."""
+        """Returns the daemons that count as live and are not leaving."""
         now = self._timers.listened()
         return [
             member
@@ -90,10 +93,10 @@
         ]
 
     def near(self) -> list[Member]:
-        """Returns the other believed daemons that this one is connected to.
+        """Returns the other live daemons whose heartbeats are monitored.
 
-        In a large fleet it also has connections to some that are not near,
-        but from their silence nothing follows.
+        In a large fleet, this daemon also connects to a few daemons of other
+        zones, but missing heartbeats of these have no effect.
         """
         believed = self.believed()
         small = len(believed) <= ALL_LINKS_UP_TO
@@ -104,7 +107,7 @@
         ]
 
     def listed(self, member: Member, live: bool, leaving: bool) -> None:
-        """Takes in what the platform's list says of a daemon."""
+        """Updates a daemon from the platform's list."""
         if member.box == self._own.box:
             return
         known = self._members.setdefault(member.box, member)
@@ -124,7 +127,7 @@
             self._on_change()
 
     def met(self, member: Member) -> None:
-        """Takes in a daemon that showed itself on a connection."""
+        """Records a daemon that completed a handshake."""
         known = self._members.get(member.box)
         if known is None or member.incarnation > known.incarnation:
             member.listed = known.listed if known is not None else False
@@ -133,14 +136,14 @@
         self._on_change()
 
     def heard(self, box: str, held: float) -> None:
-        """Notes a heartbeat."""
+        """Records a heartbeat."""
         member = self._members.get(box)
         if member is not None:
             member.heard = self._timers.listened()
             member.held = held
 
     def leaving(self, box: str, incarnation: int) -> bool:
-        """Notes that a daemon is leaving; returns whether that is news."""
+        """Marks a daemon as leaving and returns whether this is new."""
         member = self._members.get(box)
         if member is None or member.incarnation > incarnation:
             return False
@@ -151,10 +154,10 @@
         return True
 
     def silent_for(self, seconds: float) -> list[str]:
-        """Returns listed boxes that were not heard for so many seconds.
+        """Returns listed boxes without a heartbeat for the given seconds.
 
-        A box that was never heard counts from when it was first listed; one
-        that this daemon is not connected to is not among them.
+        For a box without any heartbeat, the time counts from its first
+        listing. Boxes whose heartbeats are not monitored are left out.
         """
         now = self._timers.listened()
         small = len(self.believed()) <= ALL_LINKS_UP_TO
--- a/martenjunction/peers/messages.py
+++ b/martenjunction/peers/messages.py
@@ -1,4 +1,4 @@
-"""What daemons say to one another about themselves and the configuration."""
+"""Messages between daemons about membership and the configuration."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 @codec.message("challenge")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Challenge:
-    """The first word of the daemon that was called."""
+    """First message of the handshake, sent by the accepting daemon."""
 
     protocol: int
     nonce: bytes
@@ -17,12 +17,12 @@
 @codec.message("hello")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """The caller shows who it is and that it knows the key.
+    """The connecting daemon identifies and authenticates itself.
 
     Attributes:
+        incarnation: Increases with each start of the daemon.
+        nonce: Random bytes that the accepting daemon's proof must cover.
         proof: HMAC of the challenge's nonce and the box.
-        nonce: The called daemon proves itself on it.
-        incarnation: Rises with each start of the daemon.
     """
 
     protocol: int
@@ -39,7 +39,7 @@
 @codec.message("welcome")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Welcome:
-    """The called daemon shows the same in return."""
+    """The accepting daemon identifies and authenticates itself."""
 
     box: str
     zone: str
@@ -53,12 +53,12 @@
 @codec.message("beat")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A daemon is alive.
+    """Periodic sign of life of a daemon.
 
     Attributes:
-        revision: The highest configuration version in force there.
-        digest: Sum over all keys and versions in force there.
-        held: Requests that it holds, in parts of what it may hold.
+        revision: Highest configuration version in force at the sender.
+        digest: Digest of all keys and versions in force at the sender.
+        held: Fraction of the sender's request capacity in use.
     """
 
     revision: int
@@ -69,7 +69,7 @@
 @codec.message("leaving")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """A daemon is being stopped as planned."""
+    """Notification that a daemon is shutting down gracefully."""
 
     box: str
     incarnation: int
@@ -78,7 +78,7 @@
 @codec.message("pull")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PullObjects:
-    """A daemon wants the configuration above a version."""
+    """Requests the configuration objects above a version."""
 
     after: int
 
@@ -86,10 +86,12 @@
 @codec.message("objects")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Objects:
-    """Configuration objects: keys, versions and values side by side.
+    """Configuration objects as parallel tuples.
 
     Attributes:
-        values: None where an object was deleted.
+        keys: Key of each object.
+        versions: Version of each object.
+        values: Values of each object, or None if it was deleted.
     """
 
     keys: tuple[str, ...]
@@ -100,11 +102,11 @@
 @codec.message("boxes")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Boxes:
-    """What the platform's list says of some boxes.
+    """Entries of the platform's list of boxes.
 
     Attributes:
-        rows: Name, role, state, zone, and the addresses for callers,
-            operators and peers.
+        rows: For each box its name, role, state, zone, and its addresses for
+            callers, operators and peers.
     """
 
     rows: tuple[tuple[str, str, str, str, str, str, str], ...]
--- a/martenjunction/peers/outbox.py
+++ b/martenjunction/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait for one connection to take them."""
+"""The queue of outgoing messages of one connection."""
 
 import asyncio
 
@@ -6,26 +6,28 @@
 from martenjunction.peers import codec
 from martenjunction.peers import flow
 
-# Messages that may wait for a slow peer, less those that others replace.
+# Maximum number of queued messages, not counting those that are replaced.
 MAX_UNSENT = 20_000
 
 
 class Outbox:
-    """A queue in which news go first and only the newest status is kept.
+    """A priority queue that keeps only the newest status message.
 
-    A peer that is short of time takes what is sent more slowly than it is
-    made. In order of time, news would wait behind statuses that say nothing
-    any more; here those wait until the peer has taken earlier frames.
+    An overloaded peer reads messages more slowly than they are produced. In a
+    FIFO queue, urgent messages would wait behind outdated status messages.
+    Here, status messages are held back until the peer has acknowledged earlier
+    frames.
     """
 
     def __init__(
         self, control: flow.FlowControl, limit: int = MAX_UNSENT
     ) -> None:
-        """Makes an empty queue.
+        """Initializes an empty queue.
 
         Args:
-            control: Tells whether the peer keeps up.
-            limit: Messages that may wait, less those that others replace.
+            control: Flow control of the connection.
+            limit: Maximum number of queued messages, not counting those that
+                are replaced.
         """
         self._flow = control
         self._limit = limit
@@ -38,28 +40,31 @@
         return len(self._urgent) + len(self._others) + len(self._newest)
 
     def put(self, message: codec.Encoded) -> None:
-        """Adds a message, or puts it in the place of an older one.
+        """Adds a message, or replaces a queued one of its type.
 
         Raises:
-            MailboxFullError: If the peer is too far behind.
+            MailboxFullError: If the queue is full.
         """
         if message.replaces:
             self._newest[message.tag] = self._after_waiting(message)
         elif len(self) >= self._limit:
-            raise mailbox.MailboxFullError(f"{self._limit} messages wait")
+            raise mailbox.MailboxFullError(
+                f"the outbox has reached its limit of {self._limit} messages"
+            )
         else:
             (self._urgent if message.urgent else self._others).append(message)
         self._filled.set()
 
     def wake(self) -> None:
-        """Has the writer look again, since the peer has taken frames."""
+        """Wakes the writer to check for sendable messages and a due ack."""
         self._filled.set()
 
     async def get_all(self) -> list[codec.Encoded]:
-        """Waits for messages, or for a word that is owed to the peer.
+        """Waits for sendable messages or for a due acknowledgment.
 
         Returns:
-            All messages that may be sent now; none where an empty frame is.
+            All messages that may be sent now; empty if only an acknowledgment
+            is to be sent.
         """
         while True:
             await self._filled.wait()
@@ -69,7 +74,7 @@
                 return messages
 
     def take_all(self) -> list[codec.Encoded]:
-        """Takes all messages that may be sent now, the urgent ones first."""
+        """Removes and returns the sendable messages, urgent ones first."""
         messages = [*self._urgent, *self._others]
         self._urgent, self._others = [], []
         if self._flow.is_open:
@@ -82,5 +87,5 @@
         if waiting is None:
             return message
         merged = message.value.after(waiting.value)
-        # Most often the message itself, which is encoded for all peers.
+        # Usually the message is unchanged and its encoding can be reused.
         return message if merged is message.value else codec.Encoded(merged)
--- a/martenjunction/peers/sync.py
+++ b/martenjunction/peers/sync.py
@@ -1,4 +1,4 @@
-"""Passes configuration, lists and leaving marks between daemons."""
+"""Replicates configuration, box lists and leaving marks between daemons."""
 
 from collections.abc import Callable
 import logging
@@ -11,19 +11,20 @@
 
 logger = logging.getLogger(__name__)
 
-# Objects in one message.
+# Maximum number of objects in a message.
 BATCH = 500
 
 OnListed = Callable[[list[model.ListedBox]], None]
 
 
 class ConfigSync:
-    """The second way in which a daemon learns what is in force.
+    """Replicates the configuration between peers by push and pull.
 
-    Daemons that follow the platform push what is new to all their peers. Every
-    heartbeat carries the sum over all versions; whoever sees a peer ahead of
-    itself pulls what it lacks. So a daemon without the platform, or one that
-    missed a push, still comes to the same configuration.
+    Daemons that watch the platform push new objects to the peers of their
+    zone. Every heartbeat carries a digest of all versions, and a daemon that
+    finds a peer ahead of itself pulls the objects that it lacks. A daemon that
+    cannot reach the platform or missed a push thus converges to the same
+    configuration.
     """
 
     def __init__(
@@ -32,12 +33,12 @@
         held: store.ConfigStore,
         on_change: Callable[[], None],
     ) -> None:
-        """Makes the part; `connect` subscribes it.
+        """Initializes the synchronization; `connect` subscribes it.
 
         Args:
-            peers: The connections.
+            peers: The connections to peers.
             held: The configuration in force.
-            on_change: Called when something new was put in force.
+            on_change: Called after new objects have been applied.
         """
         self._peers = peers
         self._store = held
@@ -48,11 +49,11 @@
     def connect(
         self, members: membership.Membership, on_listed: OnListed
     ) -> None:
-        """Subscribes to what peers say.
+        """Subscribes to the messages of peers.
 
         Args:
-            members: Who there is.
-            on_listed: Takes listed boxes.
+            members: The view of the fleet.
+            on_listed: Called with received entries of the list of boxes.
         """
         self._members = members
         self._on_listed = on_listed
@@ -66,7 +67,7 @@
         """Returns this daemon's heartbeat.
 
         Args:
-            held: The part of its capacity that is taken.
+            held: Fraction of its request capacity in use.
         """
         return messages.Heartbeat(
             self._store.revision, self._store.digest, round(held, 2)
@@ -79,12 +80,12 @@
             self._peers.broadcast(message, zone)
 
     def push_boxes(self, boxes: list[model.ListedBox]) -> None:
-        """Sends what the list says to the peers of this zone."""
+        """Sends entries of the list of boxes to the peers of this zone."""
         self._remember(boxes)
         self._peers.broadcast(_boxes_message(boxes), self._members.own.zone)
 
     def announce_leaving(self, own: membership.Member) -> None:
-        """Tells all peers that this daemon is leaving."""
+        """Notifies all peers that this daemon is leaving."""
         self._peers.broadcast(messages.Leaving(own.box, own.incarnation))
 
     def _remember(self, boxes: list[model.ListedBox]) -> None:
@@ -98,11 +99,11 @@
         if beat.revision > self._store.revision:
             self._pull(box, beat, self._store.revision)
         elif beat.revision == self._store.revision:
-            # Both have seen the newest change, and one of us lacks another.
+            # Both have the newest change, but one of them lacks an older one.
             self._pull(box, beat, 0)
 
     def _pull(self, box: str, beat: messages.Heartbeat, after: int) -> None:
-        """Asks a peer for what we lack, once for each state it showed."""
+        """Requests missing objects, once for each pair of digests."""
         state = (beat.digest, self._store.digest)
         if self._pulled.get(box) == state:
             return
@@ -145,7 +146,7 @@
 
     def _on_leaving(self, box: str, leaving: messages.Leaving) -> None:
         if self._members.leaving(leaving.box, leaving.incarnation):
-            # Passed on once, for those that have no connection to it.
+            # Forwarded once, for peers without a connection to that daemon.
             self._peers.broadcast(leaving, self._members.own.zone)
 
 
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -1,4 +1,4 @@
-"""A server whose bytes a test sends by hand, also while the loop is held up."""
+"""A server whose bytes a test sends itself, also while the loop is blocked."""
 
 import asyncio
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class RawPeer:
-    """A listening socket, and the connections that it accepted."""
+    """A listening socket and its accepted connections."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -34,7 +34,7 @@
         return made
 
     async def request(self, made: socket.socket) -> bytes:
-        """Waits for the bytes of a request, none at the connection's end."""
+        """Receives bytes of a request, or none at the end of the stream."""
         async with asyncio.timeout(10.0):
             loop = asyncio.get_running_loop()
             return await loop.sock_recv(made, 64 * 1024)
@@ -46,7 +46,7 @@
 
 
 def hold_up(seconds: float = HOLD_UP_S) -> None:
-    """Holds the event loop up, as a wait for a core does."""
+    """Blocks the event loop, as a wait for a processor core does."""
     time.sleep(seconds)
 
 
@@ -60,5 +60,5 @@
 
 
 def no_descriptors(*_: object, **__: object) -> NoReturn:
-    """Stands in for a socket call of a process without descriptors."""
+    """Replaces a socket call in a process without free file descriptors."""
     raise OSError(errno.EMFILE, "Too many open files")
--- a/tests/test_document_delta.py
+++ b/tests/test_document_delta.py
@@ -1,4 +1,4 @@
-"""Documents told as what differs from one that the other side has."""
+"""Tests the delta encoding of documents."""
 
 import zlib
 
@@ -11,7 +11,7 @@
 from martenjunction.peers import document_delta
 from martenjunction_lab.spread import fleet
 
-# Documents of few kinds of pieces, so that many are alike.
+# Documents consist of few distinct pieces, so that many pieces are equal.
 documents = st.lists(
     st.sampled_from([b'{"a":1}', b'{"b":2}', b",", b"}", b"[", b'{"c"']),
     max_size=30,
--- a/tests/test_peer_flow.py
+++ b/tests/test_peer_flow.py
@@ -1,4 +1,4 @@
-"""What waits for a peer: news first, one status, and no more than it takes."""
+"""Tests the outbox, flow control and questions to peers."""
 
 import dataclasses
 import random
@@ -45,7 +45,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that is advanced by the test."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -59,7 +59,7 @@
 
 
 def stalled() -> flow.FlowControl:
-    """Returns the control of a connection whose peer takes nothing."""
+    """Returns flow control whose peer acknowledges no frames."""
     made = control()
     for _ in range(flow.MOST_UNTAKEN):
         made.begin_frame(True)
@@ -177,8 +177,8 @@
 
 
 def test_few_questions_are_under_way_however_late_answers_are() -> None:
-    # A box that was late asked all its peers each 0.3 s and forgot all but the
-    # last 64 questions, so that answers after some 0.5 s were thrown away.
+    # Guards against a late box that asks all peers every 0.3 s but remembers
+    # only the last 64 questions, and so discards answers after some 0.5 s.
     for answer_s in (0.05, 0.5, 1.0, 3.0):
         questions = peer_questions.PeerQuestions()
         under_way: list[tuple[float, int]] = []
--- a/tests/test_peer_traffic.py
+++ b/tests/test_peer_traffic.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other is bounded as the fleet grows."""
+"""Tests that the traffic between boxes is bounded as the fleet grows."""
 
 import collections
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass
 class StandingLink:
-    """A link that keeps what was sent over it."""
+    """A fake link that records sent messages."""
 
     box: str
     member: membership.Member
@@ -56,7 +56,7 @@
 
 
 def one_of(count: int, own: int, clock: Clock) -> hub.PeerHub:
-    """Returns the hub of one box of a fleet."""
+    """Returns the hub of one box in a fleet of the given size."""
     service = timers.Timers(clock)
     members = membership.Membership(box(own), service, lambda: None)
     for number in range(count):
@@ -68,9 +68,9 @@
 
 
 def test_links_to_other_zones_are_spread_over_their_boxes() -> None:
-    # Symptom: single boxes of a fleet of 87 held some 86 links, and spent twice
-    # the processor time of others. Cause: each box chose the first two of each
-    # other availability zone by name.
+    # Guards against a few boxes of a fleet of 87 that have some 86 links and
+    # use twice the processor time of others, which happens if each box selects
+    # the first two boxes by name of each other availability zone.
     called: collections.Counter[str] = collections.Counter()
     for own in range(87):
         targets = one_of(87, own, Clock())._targets()
@@ -112,8 +112,8 @@
 
 
 def test_no_box_is_left_without_a_word_for_long() -> None:
-    # Any broadcast between two looks may stand for a heartbeat: the longest
-    # silence stays well below what makes a box count as silent.
+    # A status broadcast between two checks may replace a heartbeat. The longest
+    # gap must stay well below the time after which a box counts as silent.
     for told_at in range(1, 50):
         clock = Clock()
         peers = one_of(6, 0, clock)
@@ -154,8 +154,8 @@
 
 
 def test_streams_of_boxes_that_are_not_heard_count_as_short_ones() -> None:
-    # Symptom: beyond 32 boxes fewer engines were kept for short prompts than
-    # the fleet asked for. Cause: this sum alone was not scaled to all boxes.
+    # Guards against too few engines being reserved for short prompts in a
+    # fleet of more than 32 boxes, if this sum is not scaled to all boxes.
     loads = endpoint_loads.EndpointLoads()
     loads.scale = 2.5
     loads.add(endpoint_loads.LoadKey(0, False), 4, 0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Messages between daemons: whole, strange and hostile."""
+"""Tests the messages between daemons and the view of the fleet."""
 
 import cbor2
 from hypothesis import given
@@ -126,7 +126,7 @@
 
 
 def in_zones(count: int) -> membership.Membership:
-    """Returns the view of a box in one of two zones with so many boxes."""
+    """Returns the view of a box with this many others in two zones."""
     members = view(Clock())
     for number in range(count):
         other = member(f"box-{number}")
