--- a/martenjunction/peers/document_delta.py
+++ b/martenjunction/peers/document_delta.py
@@ -30,66 +30,69 @@
         base: The document that the peer has, or empty if it has none.
         target: The document to send.
     """
-    places: dict[bytes, int] = {}
+    index_by_piece: dict[bytes, int] = {}
     pieces = base.split(_SEPARATOR)
     for number, piece in enumerate(pieces):
-        places.setdefault(piece, number)
+        index_by_piece.setdefault(piece, number)
     # Each part is either a run of pieces of the base, as the first index and
     # the count, or literal bytes of the target.
     parts: list[Any] = []
-    fresh: list[bytes] = []
+    literals: list[bytes] = []
 
-    def end_fresh() -> None:
-        if fresh:
-            parts.append(_SEPARATOR.join(fresh))
-            fresh.clear()
+    def flush_literals() -> None:
+        if literals:
+            parts.append(_SEPARATOR.join(literals))
+            literals.clear()
 
     for piece in target.split(_SEPARATOR):
-        run = parts[-1] if parts and not fresh else None
-        if isinstance(run, list) and _at(pieces, run[0] + run[1]) == piece:
+        run = parts[-1] if parts and not literals else None
+        if (
+            isinstance(run, list)
+            and _piece_at(pieces, run[0] + run[1]) == piece
+        ):
             run[1] += 1
             continue
-        place = places.get(piece)
-        if place is None or not base:
-            fresh.append(piece)
+        index = index_by_piece.get(piece)
+        if index is None or not base:
+            literals.append(piece)
             continue
-        end_fresh()
-        parts.append([place, 1])
-    end_fresh()
+        flush_literals()
+        parts.append([index, 1])
+    flush_literals()
     return zlib.compress(cbor2.dumps(parts), _LEVEL)
 
 
-def apply(base: bytes, difference: bytes) -> bytes:
+def apply(base: bytes, delta: bytes) -> bytes:
     """Returns the document that results from applying a delta.
 
     Args:
         base: The document that the delta was encoded against.
-        difference: The delta as returned by `encode`.
+        delta: The delta as returned by `encode`.
 
     Raises:
         PeerError: If the delta is malformed, does not fit the base, or results
             in a document of more than `MAX_BYTES`.
     """
     pieces = base.split(_SEPARATOR)
-    made: list[bytes] = []
+    result: list[bytes] = []
     size = 0
-    for part in _parts(difference):
-        found = [part] if isinstance(part, bytes) else _run(pieces, part)
-        size += sum(len(piece) + 1 for piece in found)
+    for part in _parts(delta):
+        added = [part] if isinstance(part, bytes) else _run(pieces, part)
+        size += sum(len(piece) + 1 for piece in added)
         if size > MAX_BYTES + 1:
             raise errors.PeerError("the document is too large")
-        made += found
-    return _SEPARATOR.join(made)
+        result += added
+    return _SEPARATOR.join(result)
 
 
-def _at(pieces: list[bytes], number: int) -> bytes | None:
+def _piece_at(pieces: list[bytes], number: int) -> bytes | None:
     return pieces[number] if number < len(pieces) else None
 
 
-def _parts(difference: bytes) -> list[Any]:
-    unpacking = zlib.decompressobj()
+def _parts(delta: bytes) -> list[Any]:
+    decompressor = zlib.decompressobj()
     try:
-        parts = cbor2.loads(unpacking.decompress(difference, MAX_BYTES))
+        parts = cbor2.loads(decompressor.decompress(delta, MAX_BYTES))
     except Exception as error:
         # The decoders raise several types of error for malformed input.
         raise errors.PeerError(f"malformed delta: {error}") from error
--- a/martenjunction/peers/flow.py
+++ b/martenjunction/peers/flow.py
@@ -15,25 +15,25 @@
 
 # Unacknowledged frames at which a peer is sent no more status messages. Two are
 # in flight where one side sends every 0.2 s and the other every 0.5 s.
-MOST_UNTAKEN = 3
+MAX_UNACKED = 3
 
-# The limit before a peer's first acknowledgment in time, and for `LATE_FOR_S`
-# seconds after one that took more than `LATE_S` seconds: urgent messages wait
-# behind the frames that are in flight to 36 peers. Peers that keep up send an
-# acknowledgment within 0.7 s.
-MOST_UNTAKEN_IF_LATE = 1
-LATE_S = 1.2
-LATE_FOR_S = 10.0
+# The limit before a peer's first acknowledgment in time, and for
+# `LATE_PERIOD_S` seconds after one that took more than `LATE_ACK_S` seconds:
+# urgent messages wait behind the frames that are in flight to 36 peers. Peers
+# that keep up send an acknowledgment within 0.7 s.
+MAX_UNACKED_IF_LATE = 1
+LATE_ACK_S = 1.2
+LATE_PERIOD_S = 10.0
 
 # An acknowledgment is due after this many processed frames, or after this many
 # seconds without a frame to the peer if any were processed. It is sent in an
 # empty frame if nothing else is queued. Without the time limit, two sides that
 # wait for each other's acknowledgment would deadlock.
-TOLD_AFTER = 2
-TOLD_AFTER_S = 0.6
+ACK_AFTER_FRAMES = 2
+ACK_AFTER_S = 0.6
 
-_HEAD = struct.Struct(">I")
-_WRAP = 2**32
+_HEADER = struct.Struct(">I")
+_COUNTER_MODULUS = 2**32
 
 
 class FlowControl:
@@ -48,26 +48,26 @@
         self._now = now
         self._sent = 0
         self._sent_at: collections.deque[float] = collections.deque()
-        self._told_at = now()
+        self._last_sent_at = now()
         self._late_until = math.inf
-        self._taken_there = 0
-        self._taken_here = 0
-        self._told = 0
+        self._acked_by_peer = 0
+        self._processed = 0
+        self._acked_to_peer = 0
 
     @property
     def is_open(self) -> bool:
         """Whether the peer keeps up and may be sent status messages."""
         late = self._now() < self._late_until
-        most = MOST_UNTAKEN_IF_LATE if late else MOST_UNTAKEN
-        return self._sent - self._taken_there < most
+        limit = MAX_UNACKED_IF_LATE if late else MAX_UNACKED
+        return self._sent - self._acked_by_peer < limit
 
     @property
     def owes_word(self) -> bool:
         """Whether an acknowledgment to the peer is due."""
-        untold = self._taken_here - self._told
-        if untold >= TOLD_AFTER:
+        unacked = self._processed - self._acked_to_peer
+        if unacked >= ACK_AFTER_FRAMES:
             return True
-        return untold > 0 and self._now() - self._told_at >= TOLD_AFTER_S
+        return unacked > 0 and self._now() - self._last_sent_at >= ACK_AFTER_S
 
     def begin_frame(self, has_messages: bool) -> bytes:
         """Returns the header of a frame that is about to be sent.
@@ -76,12 +76,12 @@
             has_messages: Whether the frame has messages. An empty frame only
                 acknowledges and is not counted.
         """
-        self._told_at = self._now()
-        self._told = self._taken_here
+        self._last_sent_at = self._now()
+        self._acked_to_peer = self._processed
         if has_messages:
             self._sent += 1
-            self._sent_at.append(self._told_at)
-        return _HEAD.pack(self._taken_here % _WRAP)
+            self._sent_at.append(self._last_sent_at)
+        return _HEADER.pack(self._processed % _COUNTER_MODULUS)
 
     def take_frame(self, frame: bytes) -> bytes:
         """Processes the header of a received frame and returns the payload.
@@ -90,21 +90,21 @@
             PeerError: If the frame is shorter than a header, or acknowledges
                 more frames than were sent.
         """
-        if len(frame) < _HEAD.size:
+        if len(frame) < _HEADER.size:
             raise errors.PeerError("a frame is shorter than its header")
-        [taken] = _HEAD.unpack_from(frame)
-        news = (taken - self._taken_there) % _WRAP
-        if news > self._sent - self._taken_there:
+        [acked] = _HEADER.unpack_from(frame)
+        newly_acked = (acked - self._acked_by_peer) % _COUNTER_MODULUS
+        if newly_acked > self._sent - self._acked_by_peer:
             raise errors.PeerError("more frames were acknowledged than sent")
-        self._taken_there += news
+        self._acked_by_peer += newly_acked
         now = self._now()
-        for _ in range(news):
-            if now - self._sent_at.popleft() > LATE_S:
-                self._late_until = now + LATE_FOR_S
+        for _ in range(newly_acked):
+            if now - self._sent_at.popleft() > LATE_ACK_S:
+                self._late_until = now + LATE_PERIOD_S
             elif self._late_until == math.inf:
                 self._late_until = now
-        return frame[_HEAD.size :]
+        return frame[_HEADER.size :]
 
     def note_taken(self) -> None:
         """Records that the messages of a frame were processed."""
-        self._taken_here += 1
+        self._processed += 1
--- a/martenjunction/peers/hub.py
+++ b/martenjunction/peers/hub.py
@@ -30,7 +30,7 @@
 # last broadcast of a message of the same type, which replaces a heartbeat. A
 # timer checks this every `BEAT_LOOK_S` seconds, so that at most 0.7 s pass
 # between two of them; a box counts as silent after 1.2 s.
-DUE_PART = 0.9
+HEARTBEAT_DUE_FRACTION = 0.9
 BEAT_LOOK_S = HEARTBEAT_INTERVAL / 2
 
 # Seconds without a frame from the peer after which a connection is closed.
@@ -43,7 +43,7 @@
 # large for a full mesh.
 LINKS_TO_OTHER_ZONE = 2
 
-Receive = Callable[[str, Any], None]
+MessageHandler = Callable[[str, Any], None]
 
 
 class PeerHub:
@@ -86,20 +86,20 @@
         self._rng = rng or random.Random()
         self._links: dict[str, list[links.Link]] = {}
         self._dialing: dict[str, asyncio.Task[None]] = {}
-        self._handlers: dict[type[Any], Receive] = {}
+        self._handlers: dict[type[Any], MessageHandler] = {}
         self._server: ws_server.Server | None = None
         self._refused = 0
         self._closed_counts = links.LinkCounts()
-        self._wanted: set[str] = set()
-        self._beat_kind: type[Any] | None = None
-        self._beat_at = -math.inf
+        self._requested: set[str] = set()
+        self._heartbeat_type: type[Any] | None = None
+        self._last_heartbeat_at = -math.inf
 
     @property
     def refused(self) -> int:
         """Number of connections closed for a protocol or key error."""
         return self._refused
 
-    def subscribe(self, kind: type[Any], handler: Receive) -> None:
+    def subscribe(self, kind: type[Any], handler: MessageHandler) -> None:
         """Sets the handler of a message type, called with box and message."""
         self._handlers[kind] = handler
 
@@ -109,25 +109,25 @@
 
     def boxes(self) -> list[str]:
         """Returns the connected boxes."""
-        return [box for box, standing in self._links.items() if standing]
+        return [box for box, open_links in self._links.items() if open_links]
 
     def send(self, box: str, message: Any) -> bool:
         """Sends a message and returns whether the box was connected."""
-        standing = self._links.get(box)
-        return standing[0].send(message) if standing else False
+        open_links = self._links.get(box)
+        return open_links[0].send(message) if open_links else False
 
     def broadcast(self, message: Any, zone: str | None = None) -> None:
         """Sends a message to all connected peers, or to the peers of a zone."""
         encoded = codec.Encoded(message)
-        for standing in list(self._links.values()):
-            if standing and zone in (None, standing[0].member.zone):
-                standing[0].send(encoded)
-        if zone is None and type(message) is self._beat_kind:
-            self._beat_at = self._timers.listened()
+        for open_links in list(self._links.values()):
+            if open_links and zone in (None, open_links[0].member.zone):
+                open_links[0].send(encoded)
+        if zone is None and type(message) is self._heartbeat_type:
+            self._last_heartbeat_at = self._timers.listened()
 
     def want(self, box: str) -> None:
         """Requests an additional connection to a box."""
-        self._wanted.add(box)
+        self._requested.add(box)
 
     def traffic(self) -> links.LinkCounts:
         """Returns the total traffic of all open and closed connections."""
@@ -141,7 +141,7 @@
         """Starts listening for peers and connecting to them."""
         host, port = addresses.split_address(self._listen)
         self._server = await ws_server.serve(
-            self._answer,
+            self._accept,
             host,
             port,
             compression=None,
@@ -165,20 +165,22 @@
         """Starts connecting to target peers that are not connected."""
         targets = self._targets()
         if not targets and not self._links:
-            targets = [_unnamed(address) for address in self._seeds]
+            targets = [_placeholder(address) for address in self._seeds]
         for member in targets:
             if member.box in self._dialing or self.reachable(member.box):
                 continue
-            task = asyncio.get_running_loop().create_task(self._call(member))
+            task = asyncio.get_running_loop().create_task(
+                self._connect_with_retries(member)
+            )
             self._dialing[member.box] = task
 
     def _targets(self) -> list[membership.Member]:
         own = self._members.own
         others = [m for m in self._members.believed() if m.box != own.box]
-        near = self._members.near()
-        wanted = [m for m in others if m.box in self._wanted]
-        far = self._links_to_other_zones(others, own.zone)
-        return list({m.box: m for m in near + wanted + far}.values())
+        monitored = self._members.near()
+        requested = [m for m in others if m.box in self._requested]
+        remote = self._links_to_other_zones(others, own.zone)
+        return list({m.box: m for m in monitored + requested + remote}.values())
 
     def _links_to_other_zones(
         self, others: list[membership.Member], zone: str
@@ -189,27 +191,27 @@
                 by_zone.setdefault(member.zone, []).append(member)
         chosen: list[membership.Member] = []
         for members in by_zone.values():
-            # The order differs from box to box. Ordered by name, the first two
-            # boxes of a zone would get the connections of all other zones.
-            order = rendezvous.ranked(
+            # The ranking differs from box to box. If sorted by name, the first
+            # two boxes of a zone would get the connections of all other zones.
+            ranking = rendezvous.ranked(
                 [m.box for m in members], self._members.own.box
             )
-            near = set(order[:LINKS_TO_OTHER_ZONE])
-            chosen.extend(m for m in members if m.box in near)
+            selected = set(ranking[:LINKS_TO_OTHER_ZONE])
+            chosen.extend(m for m in members if m.box in selected)
         return chosen
 
-    async def _call(self, member: membership.Member) -> None:
-        pause = FIRST_PAUSE
+    async def _connect_with_retries(self, member: membership.Member) -> None:
+        backoff = FIRST_PAUSE
         try:
-            while self._still_wanted(member):
+            while self._is_needed(member):
                 if await self._connect(member):
-                    pause = FIRST_PAUSE
-                await asyncio.sleep(pause * (0.5 + self._rng.random()))
-                pause = min(pause * 2.0, LONGEST_PAUSE)
+                    backoff = FIRST_PAUSE
+                await asyncio.sleep(backoff * (0.5 + self._rng.random()))
+                backoff = min(backoff * 2.0, LONGEST_PAUSE)
         finally:
             self._dialing.pop(member.box, None)
 
-    def _still_wanted(self, member: membership.Member) -> bool:
+    def _is_needed(self, member: membership.Member) -> bool:
         if self.reachable(member.box):
             return False
         if member.box in self._seeds:
@@ -233,11 +235,11 @@
             ws_exceptions.WebSocketException,
         ):
             return False
-        await self._handle(connection, links.introduce)
+        await self._handle(connection, links.perform_client_handshake)
         return True
 
-    async def _answer(self, connection: ws_server.ServerConnection) -> None:
-        await self._handle(connection, links.answer)
+    async def _accept(self, connection: ws_server.ServerConnection) -> None:
+        await self._handle(connection, links.perform_server_handshake)
 
     async def _handle(
         self, connection: ws.Connection, handshake: Callable[..., Any]
@@ -246,7 +248,7 @@
         try:
             member = await handshake(connection, self._members.own, self._key)
             box = member.box
-            await self._carry(links.Link(connection, member, self._timers))
+            await self._run_link(links.Link(connection, member, self._timers))
         except errors.PeerError as error:
             self._refused += 1
             logger.warning("closing the connection to %s: %s", box, error)
@@ -256,7 +258,7 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    async def _carry(self, link: links.Link) -> None:
+    async def _run_link(self, link: links.Link) -> None:
         self._links.setdefault(link.box, []).append(link)
         self._members.met(link.member)
         self._events.emit(events.PEER_CONNECTED, link.box)
@@ -276,15 +278,17 @@
 
     def _drop(self, link: links.Link) -> None:
         self._closed_counts.add(link.counts)
-        standing = self._links.get(link.box, [])
-        if link in standing:
-            standing.remove(link)
-        if not standing:
+        open_links = self._links.get(link.box, [])
+        if link in open_links:
+            open_links.remove(link)
+        if not open_links:
             self._links.pop(link.box, None)
             self._events.emit(events.PEER_LOST, link.box)
 
     def _all_links(self) -> list[links.Link]:
-        return [link for standing in self._links.values() for link in standing]
+        return [
+            link for open_links in self._links.values() for link in open_links
+        ]
 
     def _beat(self) -> None:
         now = self._timers.listened()
@@ -298,11 +302,14 @@
             else:
                 link.look()
         heartbeat = self._heartbeat()
-        self._beat_kind = type(heartbeat)
-        if now - self._beat_at >= HEARTBEAT_INTERVAL * DUE_PART:
+        self._heartbeat_type = type(heartbeat)
+        if (
+            now - self._last_heartbeat_at
+            >= HEARTBEAT_INTERVAL * HEARTBEAT_DUE_FRACTION
+        ):
             self.broadcast(heartbeat)
 
 
-def _unnamed(address: str) -> membership.Member:
+def _placeholder(address: str) -> membership.Member:
     """Returns a placeholder for a daemon whose box is not known yet."""
     return membership.Member(address, "", "", "", address)
--- a/martenjunction/peers/links.py
+++ b/martenjunction/peers/links.py
@@ -53,17 +53,17 @@
         self.by_kind.update(other.by_kind)
 
 
-def proof(key: str, word: str, nonce: bytes, box: str) -> bytes:
+def proof(key: str, message_name: str, nonce: bytes, box: str) -> bytes:
     """Returns the HMAC by which a daemon proves that it knows the key.
 
     Args:
         key: The shared secret of all daemons.
-        word: The name of the sender's handshake message, which prevents that a
-            proof is reflected to its sender.
+        message_name: The name of the sender's handshake message; prevents
+            reflection of a proof to its sender.
         nonce: Random bytes from the verifying side.
         box: The box that authenticates itself.
     """
-    text = b"\x00".join((word.encode(), nonce, box.encode()))
+    text = b"\x00".join((message_name.encode(), nonce, box.encode()))
     return hmac.digest(key.encode(), text, hashlib.sha256)
 
 
@@ -87,8 +87,8 @@
         self._member = member
         self._timers = clock
         self._flow = flow.FlowControl(clock.now)
-        self._unsent = outbox.Outbox(self._flow)
-        self._heard = clock.listened()
+        self._outbox = outbox.Outbox(self._flow)
+        self._last_received_at = clock.listened()
         self._counts = LinkCounts()
         self._closed = False
 
@@ -105,7 +105,7 @@
     @property
     def heard(self) -> float:
         """Time of the last frame received, from `Timers.listened`."""
-        return self._heard
+        return self._last_received_at
 
     @property
     def counts(self) -> LinkCounts:
@@ -123,7 +123,7 @@
         if not isinstance(message, codec.Encoded):
             message = codec.Encoded(message)
         try:
-            self._unsent.put(message)
+            self._outbox.put(message)
         except mailbox.MailboxFullError:
             logger.warning(
                 "closing the connection to %s: its outbox is full", self.box
@@ -134,7 +134,7 @@
 
     def look(self) -> None:
         """Wakes the writer to send an acknowledgment if one is due."""
-        self._unsent.wake()
+        self._outbox.wake()
 
     def close(self) -> None:
         """Aborts the connection."""
@@ -155,7 +155,7 @@
         writer = asyncio.get_running_loop().create_task(self._write())
         try:
             async for frame in self._connection:
-                self._heard = self._timers.listened()
+                self._last_received_at = self._timers.listened()
                 self._read(frame, receive)
         except ws_exceptions.ConnectionClosed:
             return
@@ -174,12 +174,12 @@
             receive(message)
         if batch:
             self._flow.note_taken()
-        self._unsent.wake()
+        self._outbox.wake()
 
     async def _write(self) -> None:
         try:
             while True:
-                batch = await self._unsent.get_all()
+                batch = await self._outbox.get_all()
                 head = self._flow.begin_frame(bool(batch))
                 frame = head + codec.join(batch)
                 self._counts.messages_out += len(batch)
@@ -194,7 +194,7 @@
             self._counts.by_kind[message.tag] += 1
 
 
-async def answer(
+async def perform_server_handshake(
     connection: ws.Connection, own: membership.Member, key: str
 ) -> membership.Member:
     """Performs the handshake on the accepting side.
@@ -204,14 +204,14 @@
             version, or does not complete the handshake in time.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
-    await _say(connection, messages.Challenge(codec.PROTOCOL, nonce))
-    hello = await _hear(connection, messages.Hello)
+    await _send_message(connection, messages.Challenge(codec.PROTOCOL, nonce))
+    hello = await _receive_message(connection, messages.Hello)
     if hello.protocol != codec.PROTOCOL:
         raise errors.PeerError(f"unsupported protocol version {hello.protocol}")
-    wanted = proof(key, "hello", nonce, hello.box)
-    if not hmac.compare_digest(wanted, hello.proof):
+    expected = proof(key, "hello", nonce, hello.box)
+    if not hmac.compare_digest(expected, hello.proof):
         raise errors.PeerError(f"{hello.box} did not prove that it has the key")
-    await _say(
+    await _send_message(
         connection,
         messages.Welcome(
             own.box,
@@ -226,7 +226,7 @@
     return _member(hello)
 
 
-async def introduce(
+async def perform_client_handshake(
     connection: ws.Connection, own: membership.Member, key: str
 ) -> membership.Member:
     """Performs the handshake on the connecting side.
@@ -235,13 +235,13 @@
         PeerError: If the called daemon does not know the key, uses another
             protocol version, or does not complete the handshake in time.
     """
-    challenge = await _hear(connection, messages.Challenge)
+    challenge = await _receive_message(connection, messages.Challenge)
     if challenge.protocol != codec.PROTOCOL:
         raise errors.PeerError(
             f"unsupported protocol version {challenge.protocol}"
         )
     nonce = secrets.token_bytes(NONCE_BYTES)
-    await _say(
+    await _send_message(
         connection,
         messages.Hello(
             codec.PROTOCOL,
@@ -255,9 +255,9 @@
             proof(key, "hello", challenge.nonce, own.box),
         ),
     )
-    welcome = await _hear(connection, messages.Welcome)
-    wanted = proof(key, "welcome", nonce, welcome.box)
-    if not hmac.compare_digest(wanted, welcome.proof):
+    welcome = await _receive_message(connection, messages.Welcome)
+    expected = proof(key, "welcome", nonce, welcome.box)
+    if not hmac.compare_digest(expected, welcome.proof):
         raise errors.PeerError(
             f"{welcome.box} did not prove that it has the key"
         )
@@ -275,11 +275,11 @@
     )
 
 
-async def _say(connection: ws.Connection, message: Any) -> None:
+async def _send_message(connection: ws.Connection, message: Any) -> None:
     await connection.send(codec.encode_batch([message]))
 
 
-async def _hear(connection: ws.Connection, kind: type[Any]) -> Any:
+async def _receive_message(connection: ws.Connection, kind: type[Any]) -> Any:
     try:
         async with asyncio.timeout(HANDSHAKE_TIMEOUT):
             frame = await connection.recv()
--- a/martenjunction/peers/membership.py
+++ b/martenjunction/peers/membership.py
@@ -6,11 +6,11 @@
 from martenjunction import timers
 
 # Seconds after its last heartbeat for which a daemon counts as live.
-HEARD_LIFETIME = 3.0
+HEARTBEAT_LIFETIME_S = 3.0
 
 # Seconds after which a list entry that reports a daemon as live overrides a
 # notification that it is leaving: it has been restarted meanwhile.
-LEAVING_LIFETIME = 60.0
+LEAVING_LIFETIME_S = 60.0
 
 # Maximum number of daemons in a full mesh. In a larger fleet, a daemon connects
 # to all daemons of its availability zone and to a few of each other zone.
@@ -99,11 +99,12 @@
         zones, but missing heartbeats of these have no effect.
         """
         believed = self.believed()
-        small = len(believed) <= ALL_LINKS_UP_TO
+        is_full_mesh = len(believed) <= ALL_LINKS_UP_TO
         return [
             member
             for member in believed
-            if member is not self._own and self._is_near(member, small)
+            if member is not self._own
+            and self._is_monitored(member, is_full_mesh)
         ]
 
     def listed(self, member: Member, live: bool, leaving: bool) -> None:
@@ -116,10 +117,10 @@
         before = (known.listed, known.leaving_since)
         known.listed = live
         if leaving:
-            self._mark(known)
+            self._mark_leaving(known)
         elif live and known.leaving_since is not None:
             age = self._timers.now() - known.leaving_since
-            if age > LEAVING_LIFETIME:
+            if age > LEAVING_LIFETIME_S:
                 known.leaving_since = None
         if not live and known.heard is None:
             del self._members[member.box]
@@ -149,7 +150,7 @@
             return False
         if member.leaving_since is not None:
             return False
-        self._mark(member)
+        self._mark_leaving(member)
         self._on_change()
         return True
 
@@ -160,24 +161,27 @@
         listing. Boxes whose heartbeats are not monitored are left out.
         """
         now = self._timers.listened()
-        small = len(self.believed()) <= ALL_LINKS_UP_TO
+        is_full_mesh = len(self.believed()) <= ALL_LINKS_UP_TO
         return [
             member.box
             for member in self._members.values()
             if member is not self._own
             and member.listed
-            and self._is_near(member, small)
+            and self._is_monitored(member, is_full_mesh)
             and now - (member.heard or member.listed_since) > seconds
         ]
 
-    def _is_near(self, member: Member, small_fleet: bool) -> bool:
-        return small_fleet or member.zone == self._own.zone
+    def _is_monitored(self, member: Member, is_full_mesh: bool) -> bool:
+        return is_full_mesh or member.zone == self._own.zone
 
-    def _mark(self, member: Member) -> None:
+    def _mark_leaving(self, member: Member) -> None:
         if member.leaving_since is None:
             member.leaving_since = self._timers.now()
 
     def _is_live(self, member: Member, now: float) -> bool:
         if member is self._own or member.listed:
             return True
-        return member.heard is not None and now - member.heard < HEARD_LIFETIME
+        return (
+            member.heard is not None
+            and now - member.heard < HEARTBEAT_LIFETIME_S
+        )
--- a/martenjunction/peers/outbox.py
+++ b/martenjunction/peers/outbox.py
@@ -7,7 +7,7 @@
 from martenjunction.peers import flow
 
 # Maximum number of queued messages, not counting those that are replaced.
-MAX_UNSENT = 20_000
+MAX_QUEUED = 20_000
 
 
 class Outbox:
@@ -20,7 +20,7 @@
     """
 
     def __init__(
-        self, control: flow.FlowControl, limit: int = MAX_UNSENT
+        self, control: flow.FlowControl, limit: int = MAX_QUEUED
     ) -> None:
         """Initializes an empty queue.
 
@@ -33,11 +33,11 @@
         self._limit = limit
         self._urgent: list[codec.Encoded] = []
         self._others: list[codec.Encoded] = []
-        self._newest: dict[str, codec.Encoded] = {}
-        self._filled = asyncio.Event()
+        self._latest: dict[str, codec.Encoded] = {}
+        self._has_work = asyncio.Event()
 
     def __len__(self) -> int:
-        return len(self._urgent) + len(self._others) + len(self._newest)
+        return len(self._urgent) + len(self._others) + len(self._latest)
 
     def put(self, message: codec.Encoded) -> None:
         """Adds a message, or replaces a queued one of its type.
@@ -46,18 +46,18 @@
             MailboxFullError: If the queue is full.
         """
         if message.replaces:
-            self._newest[message.tag] = self._after_waiting(message)
+            self._latest[message.tag] = self._merge_with_queued(message)
         elif len(self) >= self._limit:
             raise mailbox.MailboxFullError(
                 f"the outbox has reached its limit of {self._limit} messages"
             )
         else:
             (self._urgent if message.urgent else self._others).append(message)
-        self._filled.set()
+        self._has_work.set()
 
     def wake(self) -> None:
         """Wakes the writer to check for sendable messages and a due ack."""
-        self._filled.set()
+        self._has_work.set()
 
     async def get_all(self) -> list[codec.Encoded]:
         """Waits for sendable messages or for a due acknowledgment.
@@ -67,8 +67,8 @@
             is to be sent.
         """
         while True:
-            await self._filled.wait()
-            self._filled.clear()
+            await self._has_work.wait()
+            self._has_work.clear()
             messages = self.take_all()
             if messages or self._flow.owes_word:
                 return messages
@@ -78,14 +78,14 @@
         messages = [*self._urgent, *self._others]
         self._urgent, self._others = [], []
         if self._flow.is_open:
-            messages += self._newest.values()
-            self._newest = {}
+            messages += self._latest.values()
+            self._latest = {}
         return messages
 
-    def _after_waiting(self, message: codec.Encoded) -> codec.Encoded:
-        waiting = self._newest.get(message.tag)
-        if waiting is None:
+    def _merge_with_queued(self, message: codec.Encoded) -> codec.Encoded:
+        queued = self._latest.get(message.tag)
+        if queued is None:
             return message
-        merged = message.value.after(waiting.value)
+        merged = message.value.after(queued.value)
         # Usually the message is unchanged and its encoding can be reused.
         return message if merged is message.value else codec.Encoded(merged)
--- a/martenjunction/peers/sync.py
+++ b/martenjunction/peers/sync.py
@@ -12,7 +12,7 @@
 logger = logging.getLogger(__name__)
 
 # Maximum number of objects in a message.
-BATCH = 500
+MAX_BATCH_OBJECTS = 500
 
 OnListed = Callable[[list[model.ListedBox]], None]
 
@@ -92,19 +92,21 @@
         for box in boxes:
             self._boxes[box.name] = box
 
-    def _on_heartbeat(self, box: str, beat: messages.Heartbeat) -> None:
-        self._members.heard(box, beat.held)
-        if beat.digest == self._store.digest:
+    def _on_heartbeat(self, box: str, heartbeat: messages.Heartbeat) -> None:
+        self._members.heard(box, heartbeat.held)
+        if heartbeat.digest == self._store.digest:
             return
-        if beat.revision > self._store.revision:
-            self._pull(box, beat, self._store.revision)
-        elif beat.revision == self._store.revision:
+        if heartbeat.revision > self._store.revision:
+            self._pull(box, heartbeat, self._store.revision)
+        elif heartbeat.revision == self._store.revision:
             # Both have the newest change, but one of them lacks an older one.
-            self._pull(box, beat, 0)
+            self._pull(box, heartbeat, 0)
 
-    def _pull(self, box: str, beat: messages.Heartbeat, after: int) -> None:
+    def _pull(
+        self, box: str, heartbeat: messages.Heartbeat, after: int
+    ) -> None:
         """Requests missing objects, once for each pair of digests."""
-        state = (beat.digest, self._store.digest)
+        state = (heartbeat.digest, self._store.digest)
         if self._pulled.get(box) == state:
             return
         self._pulled[box] = state
@@ -160,8 +162,8 @@
             tuple(o.values for o in part),
         )
         for part in (
-            objects[start : start + BATCH]
-            for start in range(0, len(objects), BATCH)
+            objects[start : start + MAX_BATCH_OBJECTS]
+            for start in range(0, len(objects), MAX_BATCH_OBJECTS)
         )
     ]
 
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -29,19 +29,19 @@
     async def accept(self) -> socket.socket:
         async with asyncio.timeout(10.0):
             loop = asyncio.get_running_loop()
-            made, _ = await loop.sock_accept(self._listener)
-        self.accepted.append(made)
-        return made
+            connection, _ = await loop.sock_accept(self._listener)
+        self.accepted.append(connection)
+        return connection
 
-    async def request(self, made: socket.socket) -> bytes:
+    async def request(self, connection: socket.socket) -> bytes:
         """Receives bytes of a request, or none at the end of the stream."""
         async with asyncio.timeout(10.0):
             loop = asyncio.get_running_loop()
-            return await loop.sock_recv(made, 64 * 1024)
+            return await loop.sock_recv(connection, 64 * 1024)
 
     def close(self) -> None:
-        for made in self.accepted:
-            made.close()
+        for connection in self.accepted:
+            connection.close()
         self._listener.close()
 
 
--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -12,7 +12,7 @@
     return max(fleet.Fleet(site).run().values())
 
 
-def test_boxes_short_of_time_take_a_change_in_without_the_store() -> None:
+def test_overloaded_boxes_get_a_change_without_the_store() -> None:
     # Guards against boxes that still accept revoked keys after 4 s, as did two
     # of 87 while boxes were short of processor time and the store rejected a
     # third of them. A late box asked every peer every 0.3 s and after each
@@ -50,7 +50,7 @@
     assert slowest_s(site) <= BOUND_S
 
 
-def test_routes_by_the_thousand_come_in_force_everywhere() -> None:
+def test_adding_thousands_of_routes_reaches_all_boxes() -> None:
     # Guards against links that are saturated when a change adds 1,400 routes to
     # 49 and the document grows from 15 kB to some 370 kB. Each status of a peer
     # made a box request the document again over its 5 Mbit/s link. Of 50 boxes
--- a/tests/test_document_delta.py
+++ b/tests/test_document_delta.py
@@ -19,15 +19,17 @@
 
 
 @given(documents, documents)
-def test_difference_leads_to_the_document(base: bytes, target: bytes) -> None:
-    difference = document_delta.encode(base, target)
-    assert document_delta.apply(base, difference) == target
+def test_applying_a_delta_yields_the_document(
+    base: bytes, target: bytes
+) -> None:
+    delta = document_delta.encode(base, target)
+    assert document_delta.apply(base, delta) == target
 
 
 @given(st.binary(max_size=200), documents)
-def test_rubbish_is_refused(difference: bytes, base: bytes) -> None:
+def test_malformed_delta_is_rejected(delta: bytes, base: bytes) -> None:
     with pytest.raises(errors.PeerError):
-        document_delta.apply(base, difference)
+        document_delta.apply(base, delta)
 
 
 @given(
@@ -37,20 +39,20 @@
         max_leaves=10,
     )
 )
-def test_well_formed_rubbish_is_refused(value: object) -> None:
+def test_well_formed_delta_of_wrong_types_is_rejected(value: object) -> None:
     packed = zlib.compress(cbor2.dumps([[0, 2], value]))
     with pytest.raises(errors.PeerError):
         document_delta.apply(b"{}", packed)
 
 
-def test_difference_that_grows_without_bound_is_refused() -> None:
+def test_delta_to_a_document_over_the_size_limit_is_rejected() -> None:
     base = b"x" * (document_delta.MAX_BYTES // 4)
     packed = zlib.compress(cbor2.dumps([[0, 1]] * 8))
     with pytest.raises(errors.PeerError, match="too large"):
         document_delta.apply(base, packed)
 
 
-def test_difference_is_small_where_little_changed() -> None:
+def test_delta_is_small_for_a_small_change() -> None:
     base, target = fleet.document(7, 1452), fleet.document(8, 1452)
     assert len(document_delta.encode(base, target)) < len(target) // 100
     whole = document_delta.encode(b"", target)
--- a/tests/test_peer_flow.py
+++ b/tests/test_peer_flow.py
@@ -16,7 +16,7 @@
 from martenjunction.routing import peer_messages
 from tests import routing_builders as builders
 
-NEWS = peer_messages.ConfigNews(8, 7, 1, b"")
+URGENT = peer_messages.ConfigNews(8, 7, 1, b"")
 
 
 def status(**changes: Any) -> peer_messages.BoxStatus:
@@ -58,54 +58,54 @@
     return flow.FlowControl(clock or Clock())
 
 
-def stalled() -> flow.FlowControl:
+def stalled_control() -> flow.FlowControl:
     """Returns flow control whose peer acknowledges no frames."""
     made = control()
-    for _ in range(flow.MOST_UNTAKEN):
+    for _ in range(flow.MAX_UNACKED):
         made.begin_frame(True)
     return made
 
 
-def test_news_go_before_what_waits_and_one_status_is_kept() -> None:
+def test_urgent_messages_are_first_and_only_the_last_status_is_kept() -> None:
     queue = outbox.Outbox(control())
     leaving = messages.Leaving("box-1", 5)
-    for message in (status(version=1), leaving, status(version=2), NEWS):
+    for message in (status(version=1), leaving, status(version=2), URGENT):
         queue.put(codec.Encoded(message))
-    assert values(queue) == [NEWS, leaving, status(version=2)]
+    assert values(queue) == [URGENT, leaving, status(version=2)]
 
 
-def test_other_messages_keep_their_order_and_number() -> None:
-    queue = outbox.Outbox(stalled())
+def test_other_messages_keep_their_order_and_are_not_merged() -> None:
+    queue = outbox.Outbox(stalled_control())
     pulls = [messages.PullObjects(3), messages.PullObjects(4)]
     for pull in pulls:
         queue.put(codec.Encoded(pull))
     assert values(queue) == pulls
 
 
-def test_status_that_was_not_sent_leaves_what_it_alone_told() -> None:
+def test_replaced_status_is_merged_into_the_new_one() -> None:
     queue = outbox.Outbox(control())
     queue.put(codec.Encoded(with_loads("e1", "e1", 10)))
     queue.put(codec.Encoded(with_loads("e2", "e2", 20)))
     queue.put(codec.Encoded(status(version=3)))
-    [told] = values(queue)
-    assert (told.version, told.tells_loads) == (3, True)
-    assert told.endpoints == ("e2",)
-    assert dict(zip(told.engines, told.sent, strict=True)) == {
+    [merged] = values(queue)
+    assert (merged.version, merged.tells_loads) == (3, True)
+    assert merged.endpoints == ("e2",)
+    assert dict(zip(merged.engines, merged.sent, strict=True)) == {
         "e1": 10,
         "e2": 20,
     }
 
 
-def test_peer_that_takes_nothing_gets_news_but_no_status() -> None:
-    queue = outbox.Outbox(stalled())
+def test_stalled_peer_gets_urgent_messages_but_no_status() -> None:
+    queue = outbox.Outbox(stalled_control())
     queue.put(codec.Encoded(status(version=1)))
-    queue.put(codec.Encoded(NEWS))
-    assert values(queue) == [NEWS]
+    queue.put(codec.Encoded(URGENT))
+    assert values(queue) == [URGENT]
     assert len(queue) == 1
 
 
-def test_status_goes_once_frames_were_taken() -> None:
-    own, other = stalled(), control()
+def test_status_is_sent_after_an_acknowledgment() -> None:
+    own, other = stalled_control(), control()
     queue = outbox.Outbox(own)
     queue.put(codec.Encoded(status(version=1)))
     other.note_taken()
@@ -113,18 +113,18 @@
     assert values(queue) == [status(version=1)]
 
 
-def test_peer_that_took_a_frame_late_gets_one_at_a_time() -> None:
+def test_late_acknowledgment_limits_the_peer_to_one_frame() -> None:
     clock = Clock()
     own, other = control(clock), control(clock)
     own.begin_frame(True)
     other.note_taken()
-    clock.now = flow.LATE_S + 0.1
+    clock.now = flow.LATE_ACK_S + 0.1
     own.take_frame(other.begin_frame(True))
     own.begin_frame(True)
     assert not own.is_open
 
 
-def test_frames_that_were_never_sent_cannot_be_taken() -> None:
+def test_acknowledgment_of_unsent_frames_is_rejected() -> None:
     other = control()
     other.note_taken()
     with pytest.raises(errors.PeerError):
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_two_sides_that_both_wait_never_stop_for_good(seed: int) -> None:
+def test_two_sides_that_both_wait_do_not_deadlock(seed: int) -> None:
     draw = random.Random(seed)
     clock = Clock()
     sides = [control(clock), control(clock)]
@@ -156,53 +156,53 @@
     assert min(sent) > 150
 
 
-async def test_writer_waits_until_the_peer_is_owed_a_word() -> None:
-    own = stalled()
+async def test_writer_waits_until_an_acknowledgment_is_due() -> None:
+    own = stalled_control()
     queue = outbox.Outbox(own)
     queue.put(codec.Encoded(status()))
-    for _ in range(flow.TOLD_AFTER):
+    for _ in range(flow.ACK_AFTER_FRAMES):
         own.note_taken()
     assert await queue.get_all() == []
 
 
-def test_messages_for_a_peer_that_is_far_behind_are_bounded() -> None:
+def test_full_outbox_rejects_messages() -> None:
     queue = outbox.Outbox(control(), limit=3)
     for _ in range(3):
-        queue.put(codec.Encoded(NEWS))
+        queue.put(codec.Encoded(URGENT))
     with pytest.raises(mailbox.MailboxFullError):
-        queue.put(codec.Encoded(NEWS))
+        queue.put(codec.Encoded(URGENT))
 
 
 # Questions to peers.
 
 
-def test_few_questions_are_under_way_however_late_answers_are() -> None:
+def test_questions_in_flight_are_bounded_for_any_answer_time() -> None:
     # Guards against a late box that asks all peers every 0.3 s but remembers
     # only the last 64 questions, and so discards answers after some 0.5 s.
     for answer_s in (0.05, 0.5, 1.0, 3.0):
         questions = peer_questions.PeerQuestions()
-        under_way: list[tuple[float, int]] = []
+        in_flight: list[tuple[float, int]] = []
         asked = answered = 0
         for step in range(1000):
             now = step * 0.01
-            for due, number in [q for q in under_way if q[0] <= now]:
-                under_way.remove((due, number))
+            for due, number in [q for q in in_flight if q[0] <= now]:
+                in_flight.remove((due, number))
                 answered += questions.answered(number) is not None
             for peer in range(36):
                 number = questions.ask(f"box-{peer}", now)
                 if number is not None:
                     asked += 1
-                    under_way.append((now + answer_s, number))
-        assert answered == asked - len(under_way)
+                    in_flight.append((now + answer_s, number))
+        assert answered == asked - len(in_flight)
         most, wait_s = (
             peer_questions.MOST_UNDER_WAY,
             peer_questions.FIRST_WAIT_S,
         )
         assert asked <= most * (10.0 / min(answer_s, wait_s) + 1)
-        assert len(under_way) <= most * (answer_s / wait_s + 1)
+        assert len(in_flight) <= most * (answer_s / wait_s + 1)
 
 
-def test_peer_is_not_asked_twice_at_a_time() -> None:
+def test_peer_has_at_most_one_question_in_flight() -> None:
     questions = peer_questions.PeerQuestions()
     assert questions.ask("box-1", 0.0) is not None
     assert questions.ask("box-1", 0.1) is None
--- a/tests/test_peer_traffic.py
+++ b/tests/test_peer_traffic.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass
-class StandingLink:
+class FakeLink:
     """A fake link that records sent messages."""
 
     box: str
@@ -55,7 +55,7 @@
     )
 
 
-def one_of(count: int, own: int, clock: Clock) -> hub.PeerHub:
+def hub_of(count: int, own: int, clock: Clock) -> hub.PeerHub:
     """Returns the hub of one box in a fleet of the given size."""
     service = timers.Timers(clock)
     members = membership.Membership(box(own), service, lambda: None)
@@ -71,24 +71,24 @@
     # Guards against a few boxes of a fleet of 87 that have some 86 links and
     # use twice the processor time of others, which happens if each box selects
     # the first two boxes by name of each other availability zone.
-    called: collections.Counter[str] = collections.Counter()
+    connections: collections.Counter[str] = collections.Counter()
     for own in range(87):
-        targets = one_of(87, own, Clock())._targets()
+        targets = hub_of(87, own, Clock())._targets()
         others = [m for m in targets if m.zone != box(own).zone]
         assert len(others) == 2 * hub.LINKS_TO_OTHER_ZONE
-        called.update(member.box for member in others)
-    assert max(called.values()) < 4 * hub.LINKS_TO_OTHER_ZONE * 2
+        connections.update(member.box for member in others)
+    assert max(connections.values()) < 4 * hub.LINKS_TO_OTHER_ZONE * 2
 
 
-def links_of(peers: hub.PeerHub, count: int) -> list[StandingLink]:
-    links = [StandingLink(box(n).box, box(n)) for n in range(1, count)]
+def links_of(peers: hub.PeerHub, count: int) -> list[FakeLink]:
+    links = [FakeLink(box(n).box, box(n)) for n in range(1, count)]
     for link in links:
         peers._links[link.box] = [link]  # type: ignore[list-item]
     return links
 
 
-def test_message_for_all_is_encoded_once() -> None:
-    peers = one_of(30, 0, Clock())
+def test_broadcast_message_is_encoded_once() -> None:
+    peers = hub_of(30, 0, Clock())
     links = links_of(peers, 30)
     peers.broadcast(peer_messages.EndpointsLeft(("e1",), builders.rev(7)))
     first = links[0].sent[0]
@@ -96,9 +96,9 @@
     assert all(link.sent == [first] for link in links)
 
 
-def test_status_told_for_another_reason_stands_for_the_heartbeat() -> None:
+def test_status_broadcast_replaces_the_heartbeat() -> None:
     clock = Clock()
-    peers = one_of(6, 0, clock)
+    peers = hub_of(6, 0, clock)
     links = links_of(peers, 6)
     peers._beat()
     clock.now = 0.45
@@ -111,18 +111,18 @@
     assert [len(link.sent) for link in links] == [3] * 5
 
 
-def test_no_box_is_left_without_a_word_for_long() -> None:
+def test_gap_between_messages_to_a_box_is_bounded() -> None:
     # A status broadcast between two checks may replace a heartbeat. The longest
     # gap must stay well below the time after which a box counts as silent.
-    for told_at in range(1, 50):
+    for status_at in range(1, 50):
         clock = Clock()
-        peers = one_of(6, 0, clock)
+        peers = hub_of(6, 0, clock)
         [link, *_] = links_of(peers, 6)
         times: list[float] = []
         link.send = lambda _, c=clock, t=times: t.append(c.now)  # type: ignore[method-assign,assignment,misc]
         for step in range(200):
             clock.now = step * 0.01
-            if step == told_at:
+            if step == status_at:
                 peers.broadcast(status())
             if step % round(hub.BEAT_LOOK_S * 100) == 0:
                 peers._beat()
@@ -131,9 +131,9 @@
         assert len(times) <= 6
 
 
-def test_other_messages_do_not_stand_for_the_heartbeat() -> None:
+def test_other_messages_do_not_replace_the_heartbeat() -> None:
     clock = Clock()
-    peers = one_of(6, 0, clock)
+    peers = hub_of(6, 0, clock)
     links = links_of(peers, 6)
     peers._beat()
     clock.now = 0.45
@@ -144,7 +144,7 @@
     assert kinds == ["box-status", "endpoints-left", "box-status"]
 
 
-def test_batches_of_any_size_come_back() -> None:
+def test_batches_of_any_size_round_trip() -> None:
     for count in (1, 23, 24, 255, 256):
         batch = [
             peer_messages.EndpointsLeft((f"e{n}",), builders.rev(n))
@@ -153,7 +153,7 @@
         assert codec.decode_batch(codec.encode_batch(batch)) == batch
 
 
-def test_streams_of_boxes_that_are_not_heard_count_as_short_ones() -> None:
+def test_short_streams_are_scaled_to_boxes_without_reports() -> None:
     # Guards against too few engines being reserved for short prompts in a
     # fleet of more than 32 boxes, if this sum is not scaled to all boxes.
     loads = endpoint_loads.EndpointLoads()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -28,12 +28,12 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda m: type(m).__name__)
-def test_messages_come_back_as_they_were(message: object) -> None:
+def test_messages_round_trip(message: object) -> None:
     assert codec.decode_batch(codec.encode_batch([message])) == [message]
 
 
 @given(st.binary(max_size=200))
-def test_rubbish_is_refused(data: bytes) -> None:
+def test_malformed_data_is_rejected(data: bytes) -> None:
     try:
         codec.decode_batch(data)
     except errors.PeerError:
@@ -47,13 +47,13 @@
         max_leaves=20,
     )
 )
-def test_well_formed_rubbish_is_refused(value: object) -> None:
+def test_well_formed_data_of_wrong_types_is_rejected(value: object) -> None:
     data = cbor2.dumps([["beat", value], value])
     with pytest.raises(errors.PeerError):
         codec.decode_batch(data)
 
 
-def test_field_of_a_wrong_type_is_refused() -> None:
+def test_field_of_a_wrong_type_is_rejected() -> None:
     data = cbor2.dumps([["beat", "seven", 1, 0.5]])
     with pytest.raises(errors.PeerError, match="beat"):
         codec.decode_batch(data)
@@ -91,7 +91,7 @@
     return {m.box for m in members.believed()}
 
 
-def test_listed_daemon_is_believed_until_it_leaves() -> None:
+def test_listed_daemon_is_live_until_it_leaves() -> None:
     members = view(Clock())
     members.listed(member("other", 0), live=True, leaving=False)
     assert believed(members) == {"own", "other"}
@@ -99,12 +99,12 @@
     assert believed(members) == {"own"}
 
 
-def test_heard_daemon_is_believed_though_the_list_lags() -> None:
+def test_connected_daemon_is_live_although_not_listed() -> None:
     clock = Clock()
     members = view(clock)
     members.met(member("other"))
     assert believed(members) == {"own", "other"}
-    clock.now += membership.HEARD_LIFETIME + 1
+    clock.now += membership.HEARTBEAT_LIFETIME_S + 1
     assert believed(members) == {"own"}
 
 
@@ -118,14 +118,14 @@
     assert believed(members) == {"own", "other"}
 
 
-def test_late_leaving_mark_does_not_hit_the_next_incarnation() -> None:
+def test_late_leaving_mark_does_not_apply_to_the_next_incarnation() -> None:
     members = view(Clock())
     members.met(member("other", 2))
     assert not members.leaving("other", 1)
     assert "other" in believed(members)
 
 
-def in_zones(count: int) -> membership.Membership:
+def two_zone_view(count: int) -> membership.Membership:
     """Returns the view of a box with this many others in two zones."""
     members = view(Clock())
     for number in range(count):
@@ -135,15 +135,15 @@
     return members
 
 
-def test_in_a_small_fleet_all_boxes_are_near() -> None:
-    members = in_zones(6)
+def test_small_fleet_monitors_all_boxes() -> None:
+    members = two_zone_view(6)
     others = [m for m in members.believed() if m.box != "own"]
     assert members.near() == others
     assert len(others) == 6
 
 
-def test_boxes_of_far_zones_are_not_called_silent_in_a_large_fleet() -> None:
-    members = in_zones(60)
+def test_large_fleet_does_not_monitor_boxes_of_other_zones() -> None:
+    members = two_zone_view(60)
     members._timers._clock.now += 60.0  # type: ignore[attr-defined]
     silent = set(members.silent_for(12.0))
     assert silent == {f"box-{number}" for number in range(0, 60, 2)}
