--- a/martenjunction/platform/__init__.py
+++ b/martenjunction/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls, and no decisions."""
+"""Adapter to the platform: its names, formats and calls, without policy."""
--- a/martenjunction/platform/box_settings.py
+++ b/martenjunction/platform/box_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays on each box."""
+"""The settings file that the platform provides on each box."""
 
 import dataclasses
 import tomllib
@@ -6,10 +6,10 @@
 
 from martenjunction import errors
 
-# Names the file's path in the environment.
+# Environment variable with the path of the settings file.
 SETTINGS_VARIABLE = "MARTENJUNCTION_SETTINGS"
 
-# The port for metrics and the dump; deploy/system.toml names it too.
+# Port for metrics and the dump; must match deploy/system.toml.
 METRICS_PORT = 9464
 
 MEGABYTE = 1024 * 1024
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BoxSettings:
-    """What one box is told.
+    """The settings of a box.
 
     Attributes:
         box: The box's name.
@@ -29,25 +29,27 @@
         ip: The box's IP address.
         zones: Region of each availability zone.
         callers: Address for clients' requests.
-        ready: Address that the platform asks for readiness.
-        entry: Address that clients ask where to go.
+        ready: Address of the readiness check.
+        entry: Address where clients resolve the gateways' addresses.
         peers: Address for other daemons.
-        seeds: Addresses for daemons of some boxes; they may be gone.
+        seeds: Addresses of daemons of some boxes, which may no longer exist.
         store: Address of the platform's store.
-        memory_bytes: Limit on the process's memory.
-        max_descriptors: Limit on its descriptors.
-        link_bytes_s: Bytes a second that its link carries, each way.
-        drain_s: Seconds within which a leaving endpoint gets no more work.
-        stop_s: Seconds from the signal to stop to the kill.
-        key_lifetime_s: Seconds for which a key may be honoured after the
-            configuration that removes it.
-        change_s: Seconds within which a change of the configuration has to be
-            in force.
-        keys_fail_closed: Whether that holds for a box without the store too.
-        retry_ratio: Repeats allowed for each request.
-        retry_window_s: Seconds over which repeats are counted.
-        retry_allowance: Repeats allowed whatever the requests.
-        max_entry_ttl_s: Longest life of an address answer.
+        memory_bytes: Limit on the process's memory in bytes.
+        max_descriptors: Limit on the process's file descriptors.
+        link_bytes_s: Bandwidth of the box's link in each direction, in bytes
+            per second.
+        drain_s: Seconds after which a leaving endpoint must get no new
+            requests.
+        stop_s: Seconds from the termination signal to the kill.
+        key_lifetime_s: Seconds for which an API key may still be accepted after
+            the configuration change that removes it.
+        change_s: Seconds within which a configuration change must be in force.
+        keys_fail_closed: Whether the limit on removed keys also applies to a
+            box that cannot reach the store.
+        retry_ratio: Retries allowed per request.
+        retry_window_s: Seconds over which retries are counted.
+        retry_allowance: Retries allowed independently of the request count.
+        max_entry_ttl_s: Maximum TTL of a resolve response in seconds.
         metrics_port: Port for metrics and the dump, at the box's IP address.
     """
 
@@ -81,10 +83,13 @@
     """Reads the settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
+
+    Returns:
+        The settings of this box.
 
     Raises:
-        SettingsError: If it is missing, malformed or lacks a field.
+        SettingsError: If the file is missing or malformed, or lacks a field.
     """
     try:
         with open(path, "rb") as file:
@@ -95,12 +100,12 @@
         return _decode(table)
     except (KeyError, TypeError, ValueError) as error:
         raise errors.SettingsError(
-            f"missing or wrong: {error}", path
+            f"missing or invalid setting: {error}", path
         ) from error
 
 
 def _decode(table: dict[str, Any]) -> BoxSettings:
-    # Fields that we do not know are skipped, as the platform asks.
+    # The platform requires that unknown fields are ignored.
     listen = table["listen"]
     limits = table["limits"]
     bounds = table["bounds"]
@@ -113,7 +118,7 @@
         callers=listen["frontend"],
         ready=listen["ready"],
         entry=listen["directory"],
-        # Nobody outside calls this address: it is free for our daemons.
+        # Not used from outside, so that daemons can use it for their peers.
         peers=listen["control_plane"],
         seeds=tuple(table.get("seeds", ())),
         store=table["platform"]["address"],
--- a/martenjunction/platform/documents.py
+++ b/martenjunction/platform/documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, decoded once into the project's types."""
+"""Decodes documents of the platform into internal types."""
 
 import ipaddress
 import math
@@ -22,8 +22,8 @@
 MS = 0.001
 LAST_PORT = 65535
 
-# What the decoder raises on rubbish: its own errors, and those of Python on
-# text that is no Unicode, numbers that are too long and depth without end.
+# Errors of the decoder for malformed input: its own, and those of Python for
+# invalid Unicode, too long numbers and excessive nesting.
 _UNREADABLE = (
     msgspec.MsgspecError,
     ValueError,
@@ -31,10 +31,10 @@
     RecursionError,
 )
 
-# A route without a time limit of its own is held this long at most, seconds.
+# Default time limit of a route in seconds.
 DEFAULT_TIMEOUT_S = 60.0
 
-# A route without a target of its own is judged by this, seconds.
+# Default latency target of a route in seconds.
 DEFAULT_TARGET_S = 1.0
 
 
@@ -63,9 +63,9 @@
     slots: int
     kv_capacity: int
     kv_bytes: float
-    # The wire calls the number of tokens in one event a stride.
+    # The number of tokens in one event.
     stride: int = 1
-    # Whether an engine keeps copies of the memory of another one's runs.
+    # Whether an engine keeps backups of the KV cache of another engine's runs.
     backups: bool = False
 
 
@@ -94,7 +94,7 @@
     routes: list[_Route] = []
     services: list[_Service] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # None where the deployment knows no keys at all.
+    # None if the deployment does not use API keys.
     tenants: list[_Workspace] | None = None
 
 
@@ -103,7 +103,10 @@
 
 
 class _Endpoint(msgspec.Struct):
-    """An entry of the replicas' list; one that lacks a field is not theirs."""
+    """An entry of the list of replicas.
+
+    An entry that lacks a required field was not written by a replica.
+    """
 
     service: _Name
     address: _Name
@@ -113,21 +116,21 @@
     state: Literal["ready", "draining"]
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
     seq: _Count
-    # Unix milliseconds of its start, where replicas may start again under the
-    # name that they had.
+    # Start time in Unix milliseconds, if replicas may restart under the same
+    # name.
     born: _Count | None = None
 
 
 class BoxEntry(msgspec.Struct, frozen=True):
-    """What a daemon records of itself in the store.
+    """The entry in the store by which a daemon registers itself.
 
     Attributes:
         box: The box's name.
-        zone: Its availability zone.
-        callers: Its address for clients' requests.
-        peers: Its address for other daemons.
-        incarnation: Rises with each of its starts.
-        leaving: Whether it is being stopped as planned.
+        zone: The box's availability zone.
+        callers: The daemon's address for clients' requests.
+        peers: The daemon's address for other daemons.
+        incarnation: Increases with each start of the daemon.
+        leaving: Whether the daemon is shutting down gracefully.
     """
 
     box: _Name
@@ -146,13 +149,13 @@
 
 
 def decode_config(spec: bytes) -> model.RoutingConfig:
-    """Returns the configuration in a document.
+    """Decodes a routing configuration.
 
     Args:
         spec: The document's JSON.
 
     Raises:
-        PlatformError: If it cannot be read.
+        PlatformError: If the document is malformed.
     """
     try:
         wire = msgspec.json.decode(spec, type=_Config)
@@ -174,7 +177,9 @@
             ),
         )
     except (*_UNREADABLE, KeyError) as error:
-        raise errors.PlatformError(f"unreadable config: {error}") from error
+        raise errors.PlatformError(
+            f"malformed configuration: {error}"
+        ) from error
 
 
 def _route(wire: _Route) -> model.Route:
@@ -217,20 +222,23 @@
 
 
 def decode_endpoint(name: str, spec: bytes) -> model.Endpoint:
-    """Returns the endpoint in an entry of the replicas' list.
+    """Decodes an endpoint from an entry of the list of replicas.
 
     Args:
-        name: The entry's name, which is the endpoint's id.
+        name: The entry's name, which is the endpoint's id, or the first part
+            of the id if the entry has a start time.
         spec: The entry's JSON.
 
     Raises:
-        PlatformError: If it cannot be read.
+        PlatformError: If the entry is malformed.
     """
     try:
         wire = msgspec.json.decode(spec, type=_Endpoint)
         _check_address(wire.address)
     except _UNREADABLE as error:
-        raise errors.PlatformError(f"unreadable entry: {error}") from error
+        raise errors.PlatformError(
+            f"malformed endpoint entry: {error}"
+        ) from error
     ready = wire.state == "ready"
     return model.Endpoint(
         id=name if wire.born is None else f"{name}/{wire.born}",
@@ -248,48 +256,48 @@
 
 
 def _check_address(address: str) -> None:
-    """Checks an IP address and a port.
+    """Checks that an address consists of an IP address and a port.
 
     Raises:
-        ValueError: If it is none.
+        ValueError: If the address is invalid.
     """
     host, port = addresses.split_address(address)
     ipaddress.ip_address(host)
     if not 0 < port <= LAST_PORT:
-        raise ValueError(f"no port: {port}")
+        raise ValueError(f"invalid port: {port}")
 
 
 def decode_box(name: str, spec: bytes) -> BoxEntry:
-    """Returns a daemon's own entry.
+    """Decodes the entry by which a daemon registers itself.
 
     Args:
-        name: The entry's name, which is the box's.
+        name: The entry's name, which is the box's name.
         spec: The entry's JSON.
 
     Raises:
-        PlatformError: If it cannot be read, or is not that box's.
+        PlatformError: If the entry is malformed or names another box.
     """
     try:
         entry = msgspec.json.decode(spec, type=BoxEntry)
         _check_address(entry.callers)
         _check_address(entry.peers)
     except _UNREADABLE as error:
-        raise errors.PlatformError(f"unreadable box: {error}") from error
+        raise errors.PlatformError(f"malformed box entry: {error}") from error
     if entry.box != name:
-        raise errors.PlatformError(f"the entry of box {entry.box}")
+        raise errors.PlatformError(f"the entry of {name} names box {entry.box}")
     return entry
 
 
 def encode_box(entry: BoxEntry) -> dict[str, Any]:
-    """Returns a daemon's own entry as plain values."""
+    """Returns a daemon's entry as a mapping for the store."""
     return msgspec.structs.asdict(entry)
 
 
 def decode_entry_question(query: dict[str, str]) -> tuple[str, str]:
-    """Returns the region and availability zone of a client that asks."""
+    """Returns the region and availability zone in a resolve query."""
     return query.get("region", ""), query.get("zone", "")
 
 
 def encode_entry_answer(addresses: list[str], ttl_s: float) -> bytes:
-    """Returns the body that tells a client which addresses to use."""
+    """Returns the JSON body of a resolve response."""
     return msgspec.json.encode({"addresses": addresses, "ttl_s": ttl_s})
--- a/martenjunction/platform/headers.py
+++ b/martenjunction/platform/headers.py
@@ -1,10 +1,10 @@
-"""Headers of requests and answers on the platform."""
+"""Headers of requests and responses on the platform."""
 
 import dataclasses
 
 from martenjunction.http1 import messages
 
-# Path of the call by which clients ask for addresses.
+# Path by which clients resolve addresses of gateways.
 ENTRY_PATH = b"/resolve"
 
 RETRY_AFTER = b"Retry-After"
@@ -17,14 +17,15 @@
 _URGENCY = b"Martenjunction-Request-Urgency"
 _COPY_TO = b"Martenjunction-Kv-Backup"
 _COPY_FROM = b"Kv-From"
-# Carries the parts of the prompt, not a hash.
+# Despite its name, it has the parts of the prompt, not a hash.
 _PROMPT_PARTS = b"martenjunction-prefix-hash"
 _TOKENS = b"martenjunction-token-counts"
 _NOT_RUN = b"martenjunction-not-executed"
 _LOAD = b"martenjunction-replica-load"
 _SEAL = b"martenjunction-replica-seal"
 
-# What only we may set, and what is counted or read anew on each hop.
+# Headers of a client's request that are not forwarded: only the gateway may
+# set them, or they apply to a single hop.
 _OURS = frozenset(
     {
         b"authorization",
@@ -50,11 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that requests may share.
+    """A part of a prompt that several requests may share.
 
     Attributes:
         id: The part's id.
-        tokens: Its length.
+        tokens: Its length in tokens.
     """
 
     id: str
@@ -63,17 +64,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a request's headers say of it.
+    """Metadata from a request's headers.
 
     Attributes:
-        id: The request's id; empty if it has none.
-        host: The host.
-        key: The caller's key, or None.
+        id: The request's id, or empty if there is none.
+        host: The value of the Host header.
+        key: The caller's API key, or None.
         deadline_s: Seconds that the client will wait, or None.
-        parts: Parts of the prompt, in order.
-        prompt_tokens: Length of the prompt.
-        max_tokens: Most tokens that may be generated.
-        resume_from: Id of the last event that the client has, or None.
+        parts: The parts of the prompt in order.
+        prompt_tokens: Length of the prompt in tokens.
+        max_tokens: Maximum number of tokens to generate.
+        resume_from: Id of the last event that the client received, or None.
     """
 
     id: str
@@ -88,12 +89,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointLoad:
-    """What an endpoint tells of its load.
+    """The load that an endpoint reports.
 
     Attributes:
-        running: Requests that it runs.
-        waiting: Requests that wait in its queue.
-        slots: Requests that it can run at once.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        slots: Number of requests that it can run concurrently.
     """
 
     running: int
@@ -103,13 +104,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyPlan:
-    """Where the memory of a run is copied to, or comes from.
+    """Endpoints that keep or provide a copy of a run's KV cache.
 
     Attributes:
-        copy_to: Address of the endpoint that keeps a copy as the run goes
-            on, or None.
-        copied_at: Address of the endpoint that has a copy from which the run
-            continues there, or None.
+        copy_to: Address of the endpoint that keeps a backup during the run, or
+            None.
+        copied_at: Address of the endpoint with the backup from which the run is
+            resumed, or None.
     """
 
     copy_to: str | None = None
@@ -117,7 +118,7 @@
 
 
 def decode_request(headers: messages.Headers) -> RequestFacts:
-    """Returns what a request's headers say; what is malformed is left out."""
+    """Decodes the headers of a request, ignoring malformed values."""
     found = {name.lower(): value for name, value in reversed(headers)}
     tokens = _integers(found.get(_TOKENS, b""))
     authorization = found.get(b"authorization", b"").decode("latin-1")
@@ -146,18 +147,18 @@
     resume_from: str | None = None,
     copies: "CopyPlan | None" = None,
 ) -> messages.Headers:
-    """Returns the headers that an endpoint gets.
+    """Returns the headers of a request to an endpoint.
 
     Args:
         headers: The client's headers.
-        body_length: Bytes of the body, or None for no body.
-        deadline_s: Seconds that are left.
-        endpoint: The id of the endpoint that is meant.
-        workspace: Whose request it is, or None.
-        urgency: 0 (first) to 9, or None for a plain service.
-        resume_from: Continue after this event, or None to leave that to the
-            client's own header.
-        copies: Where the run's memory is copied to or comes from, or None.
+        body_length: Length of the body in bytes, or None if there is no body.
+        deadline_s: Seconds until the deadline.
+        endpoint: Id of the endpoint that the request is meant for.
+        workspace: Name of the request's workspace, or None.
+        urgency: 0 (most urgent) to 9, or None for a plain service.
+        resume_from: Id of the event after which to continue, or None to forward
+            the client's own header.
+        copies: Endpoints that keep or provide a copy of the KV cache, or None.
     """
     kept = messages.without(headers, _OURS)
     if resume_from is not None:
@@ -174,7 +175,7 @@
     if copies is not None and copies.copy_to is not None:
         kept.append((_COPY_TO, copies.copy_to.encode()))
     if copies is not None and copies.copied_at is not None:
-        # The run whose copy it is has this request's own id.
+        # The run that was backed up has the same id as this request.
         origin = f"{copies.copied_at}/{request_id_of(headers)}"
         kept.append((_COPY_FROM, origin.encode()))
     if body_length is not None:
@@ -183,20 +184,21 @@
 
 
 def request_id_of(headers: messages.Headers) -> str:
-    """Returns the id in a request's headers; empty if it has none."""
+    """Returns the request id from headers, or empty if there is none."""
     value = messages.header(headers, _REQUEST_ID.lower())
     return "" if value is None else value.decode("latin-1")
 
 
 def for_client(headers: messages.Headers) -> messages.Headers:
-    """Returns an endpoint's headers less those of framing."""
+    """Returns an endpoint's headers without those of the framing."""
     return messages.without(headers, _FRAMING)
 
 
 def answers_request(head: messages.ResponseHead, request_id: str) -> bool:
-    """Returns whether an answer belongs to a request.
+    """Returns whether a response belongs to a request.
 
-    A refusal may come without the id, a success may not.
+    A response with an error status may lack the id, one with a success status
+    must have it.
     """
     echoed = head.get(_REQUEST_ID.lower())
     if echoed is None:
@@ -205,23 +207,23 @@
 
 
 def is_not_run(head: messages.ResponseHead) -> bool:
-    """Returns whether the endpoint says that it did not run the request."""
+    """Returns whether the endpoint reports that it did not run the request."""
     return head.status == 421 or head.get(_NOT_RUN) is not None
 
 
 def is_sealed(head: messages.ResponseHead) -> bool:
-    """Returns whether an endpoint put its seal on an answer."""
+    """Returns whether a response has an endpoint's seal."""
     return head.get(_SEAL) is not None
 
 
 def load_of(head: messages.ResponseHead) -> EndpointLoad | None:
-    """Returns the load that an answer tells, or None."""
+    """Returns the load that a response reports, or None."""
     numbers = _integers(head.get(_LOAD) or b"")
     return EndpointLoad(*numbers) if len(numbers) == 3 else None
 
 
 def retry_after(seconds: float) -> tuple[bytes, bytes]:
-    """Returns the header that tells a client when to come back."""
+    """Returns the Retry-After header for a client."""
     return RETRY_AFTER, f"{seconds:.2f}".encode()
 
 
--- a/martenjunction/platform/notices.py
+++ b/martenjunction/platform/notices.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself in the head of any answer."""
+"""Notices of an endpoint about itself in the headers of any response."""
 
 import dataclasses
 
@@ -11,24 +11,24 @@
 _ENDPOINT = b"martenjunction-replica-id"
 _REQUEST = b"martenjunction-attempt-id"
 
-# Statuses with which an endpoint turns work away and may ask for rest.
+# Statuses with which an endpoint rejects a request and may ask for back-off.
 _TURNED_AWAY = frozenset({429, 503})
 
-# Answered by an endpoint that is not the one that was meant.
+# Status of an endpoint that is not the one that the request was meant for.
 _MISDIRECTED = 421
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointNotice:
-    """What the head of one answer says of the endpoint that gave it.
+    """The notices in the headers of a response.
 
     Attributes:
-        leaves: Whether it gets no more work, for good.
-        rest_s: Seconds for which it wants nothing from this box; 0 for none.
-        limit_per_s: Requests a second that it takes from all boxes together;
-            None where it names none that can be read.
-        unlimited: Whether it answers a request and names no limit.
-        unreadable: A value that says neither, for the log; empty for none.
+        leaves: Whether the endpoint must not be sent any more requests.
+        rest_s: Seconds of back-off requested from this box; 0 for none.
+        limit_per_s: Rate limit of the endpoint in requests per second from all
+            boxes together; None if there is no valid one.
+        unlimited: Whether the response answers a request and has no limit.
+        unreadable: A malformed value, for the log; empty if there is none.
     """
 
     leaves: bool = False
@@ -42,13 +42,13 @@
 
 
 def is_of_another(head: messages.ResponseHead, endpoint: str) -> bool:
-    """Returns whether another endpoint than the one that was asked answers.
+    """Returns whether a response comes from another endpoint.
 
-    Addresses are used again by other services' endpoints.
+    Addresses may be reused by endpoints of other services.
 
     Args:
-        head: The head of the answer.
-        endpoint: Id of the endpoint in its entry.
+        head: The head of the response.
+        endpoint: Id of the requested endpoint in its entry.
     """
     named = head.get(_ENDPOINT)
     if head.status == _MISDIRECTED:
@@ -57,15 +57,17 @@
 
 
 def notice_of(head: messages.ResponseHead, endpoint: str) -> EndpointNotice:
-    """Returns what an answer says of the endpoint that was asked.
+    """Decodes the notices in a response.
 
-    Nothing, where another endpoint answers at its address. A time of rest is
-    a number of seconds, of which there may be fractions; a date is none. Of
-    several values the one that binds more holds.
+    A back-off is a decimal number of seconds; dates are not supported. If a
+    header has several values, the most restrictive one applies.
 
     Args:
-        head: The head of the answer.
-        endpoint: Id of the endpoint in its entry.
+        head: The head of the response.
+        endpoint: Id of the requested endpoint in its entry.
+
+    Returns:
+        The notices, or `NOTHING` if another endpoint responded at the address.
     """
     if is_of_another(head, endpoint):
         return NOTHING
@@ -94,7 +96,7 @@
 def _decimals(
     head: messages.ResponseHead, name: bytes, unreadable: list[bytes]
 ) -> list[float]:
-    """Returns the numbers of a header; notes what is none."""
+    """Returns the numbers in a header and collects malformed values."""
     numbers = []
     for value in head.all(name):
         number = http_headers.decimal_of(value.decode("latin-1"))
--- a/martenjunction/platform/store.py
+++ b/martenjunction/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of objects; every call is counted."""
+"""Client of the platform's object store that counts its calls."""
 
 import asyncio
 import collections
@@ -14,22 +14,23 @@
 from martenjunction.http1 import client
 from martenjunction.http1 import messages
 
-# Seconds for a connection, for the head of an answer beyond a watch's own wait
-# and for each further part of it, and for all its parts. A document of 370 kB
-# takes 0.6 s over a link of 5 Mbit/s, and more beside other traffic.
+# Timeouts in seconds: to connect; for the head of a response, in addition to
+# the wait of a watch, and for each part of the body; and for the whole body. A
+# document of 370 kB takes 0.6 s over a link of 5 Mbit/s, and longer if there is
+# other traffic.
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 1.0
 BODY_TIMEOUT_S = 4.0
 
-# Connections that are kept for later calls.
+# Maximum number of idle connections that are kept for later calls.
 KEPT_CONNECTIONS = 3
 
-# Pages that one list may have.
+# Maximum number of pages of a list.
 MAX_PAGES = 200
 
 _JSON = (b"Content-Type", b"application/json")
 
-# Header of all answers; increases each time the store is restored from a copy.
+# Header of all responses; increases when the store is restored from a backup.
 _ERA_HEADER = b"store-era"
 MAX_ERA_DIGITS = 18
 
@@ -63,12 +64,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object.
+    """An object of the store.
 
     Attributes:
-        name: Its name within its kind.
+        name: The name within its kind.
         revision: The revision of its last change.
-        spec: Its content as JSON.
+        spec: The content as JSON.
     """
 
     name: str
@@ -78,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """All objects of a kind, and the store's revision then."""
+    """All objects of a kind at a revision of the store."""
 
     objects: tuple[StoredObject, ...]
     revision: revisions.Revision
@@ -86,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One change of an object, or its end."""
+    """A change or deletion of an object."""
 
     object: StoredObject
     deleted: bool
@@ -94,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes since a revision, in order, and the revision after them."""
+    """Ordered changes since a revision, and the revision after them."""
 
     changes: tuple[Change, ...]
     revision: revisions.Revision
@@ -102,12 +103,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Answer:
-    """One answer of the store.
+    """A response of the store.
 
     Attributes:
         status: The HTTP status.
         body: The whole body.
-        era: The era of the store that the answer belongs to.
+        era: The era of the store that the response belongs to.
     """
 
     status: int
@@ -119,7 +120,7 @@
     """Reads, watches and writes objects of the store."""
 
     def __init__(self, address: str) -> None:
-        """Makes a client; it connects when it is first used.
+        """Initializes the client, which connects on first use.
 
         Args:
             address: IP address and port of the store.
@@ -132,12 +133,12 @@
 
     @property
     def era(self) -> int:
-        """The highest known era of the store; 0 if none is known."""
+        """The highest known era of the store, or 0 if none is known."""
         return self._era
 
     @property
     def calls(self) -> dict[str, int]:
-        """Calls made so far, by what they did."""
+        """Number of calls by operation."""
         return dict(self._calls)
 
     def on_era_change(self, callback: Callable[[int], None]) -> None:
@@ -145,7 +146,7 @@
         self._on_era_change = callback
 
     def update_era(self, era: int) -> None:
-        """Records the store's era, as reported by an answer or a peer."""
+        """Records the store's era, as reported by a response or a peer."""
         if era <= self._era:
             return
         is_change = self._era > 0
@@ -154,10 +155,10 @@
             self._on_era_change(era)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Returns an object as it stands now, or None.
+        """Returns the current version of an object, or None.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the store rejects or does not answer the call.
         """
         answer = await self._call("get", "GET", _path(kind, name))
         if answer.status == 404:
@@ -165,15 +166,15 @@
         return _object(_decode(answer, _Object), answer.era)
 
     async def list(self, kind: str, may_be_old: bool = False) -> Listing:
-        """Returns all objects of a kind as they stand now.
+        """Returns the current version of all objects of a kind.
 
         Args:
             kind: The kind.
-            may_be_old: Whether the answer may be some seconds old; such a
-                call costs a tenth.
+            may_be_old: Whether the response may be some seconds old, which
+                reduces the cost of the call to a tenth.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the store rejects or does not answer a call.
         """
         objects: list[StoredObject] = []
         after: str | None = None
@@ -187,15 +188,15 @@
             page = _decode(answer, _Listing)
             if era not in (None, answer.era):
                 raise errors.PlatformRefusedError(
-                    f"pages of {kind} are from eras {era} and {answer.era}"
+                    f"the pages of {kind} are from eras {era} and {answer.era}"
                 )
             era = answer.era
             objects.extend(_object(entry, era) for entry in page.entries)
             if not page.has_more or not page.entries:
                 revision = revisions.Revision(era, page.current_rev)
                 return Listing(tuple(objects), revision)
-            # Pages go on after a name, although the field speaks of a
-            # revision.
+            # Despite the parameter's name, the next page starts after a name,
+            # not a revision.
             after = page.entries[-1].metadata.name
         raise errors.PlatformRefusedError(f"{kind} has too many pages")
 
@@ -210,9 +211,9 @@
             wait_s: Seconds to wait for the first change.
 
         Raises:
-            HistoryLostError: If the store dropped changes since `after`, or
-                was restored from a copy since then.
-            PlatformError: If there is no answer.
+            HistoryLostError: If the store has dropped changes since `after`,
+                or has been restored from a backup since then.
+            PlatformError: If the store rejects or does not answer the call.
         """
         wait_ms = str(round(wait_s * 1000))
         query = {"watch": str(after.number), "wait_ms": wait_ms}
@@ -223,13 +224,15 @@
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
         if answer.status == 410:
-            raise errors.HistoryLostError(f"changes after {after} are gone")
+            raise errors.HistoryLostError(
+                f"the store has dropped changes after {after}"
+            )
         decoded = _decode(answer, _Events)
         if answer.era != after.era:
-            # The store may have reused this number and passed it again, so that
-            # changes would be missed.
+            # The store may already have reused this number, so that changes
+            # would be missed.
             raise errors.HistoryLostError(
-                f"{after} is not from era {answer.era}"
+                f"revision {after} is not from era {answer.era}"
             )
         return Changes(
             tuple(
@@ -240,12 +243,13 @@
         )
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Makes an object.
+        """Creates an object.
 
         Raises:
-            VersionConflictError: If there is one of that name.
-            PlatformRefusedError: If nothing was done.
-            PlatformUnavailableError: If it may or may not have been made.
+            VersionConflictError: If an object of that name exists.
+            PlatformRefusedError: If the call had no effect.
+            PlatformUnavailableError: If it is unknown whether the object was
+                created.
         """
         document = {"metadata": {"name": name}, "spec": spec}
         return await self._write("create", "POST", _path(kind), name, document)
@@ -263,12 +267,13 @@
             kind: The kind.
             name: The object.
             spec: The new content.
-            revision: The revision that it must have; None for any.
+            revision: The expected revision, or None for any.
 
         Raises:
-            VersionConflictError: If it has another revision.
-            PlatformRefusedError: If nothing was done.
-            PlatformUnavailableError: If it may or may not have been done.
+            VersionConflictError: If the object has another revision.
+            PlatformRefusedError: If the call had no effect.
+            PlatformUnavailableError: If it is unknown whether the object was
+                replaced.
         """
         metadata: dict[str, Any] = {"name": name}
         if revision is not None:
@@ -281,11 +286,11 @@
     async def delete(
         self, kind: str, name: str, revision: revisions.Revision | None
     ) -> None:
-        """Removes an object; one that is not there is no error.
+        """Deletes an object, if it exists.
 
         Raises:
-            VersionConflictError: If it has another revision.
-            PlatformError: If it was not, or may not have been, removed.
+            VersionConflictError: If the object has another revision.
+            PlatformError: If the object was not, or may not have been, deleted.
         """
         query = {}
         if revision is not None:
@@ -298,7 +303,7 @@
             _decode(answer, _Object)
 
     def close(self) -> None:
-        """Ends all kept connections."""
+        """Closes all idle connections."""
         for connection in self._kept:
             connection.abort()
         self._kept.clear()
@@ -331,7 +336,7 @@
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> _Answer:
-        """Makes one call; a connection without an answer is not used again."""
+        """Makes a call and closes the connection if no response is received."""
         self._calls[what] += 1
         connection = await self._connect()
         headers = [(b"Host", self._address.encode())]
@@ -346,7 +351,7 @@
         except (errors.TransportError, TimeoutError) as error:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"no answer to {what}: {error or 'time-out'}"
+                f"no response to {what}: {error or 'time-out'}"
             ) from error
         except asyncio.CancelledError:
             connection.abort()
@@ -357,7 +362,7 @@
         if era < self.era:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"answer to {what} is from era {era}, before {self.era}"
+                f"the response to {what} is from era {era}, before {self.era}"
             )
         if connection.finish():
             self._keep(connection)
@@ -404,7 +409,7 @@
 
 
 def _era_in(head: messages.ResponseHead) -> int | None:
-    """Returns the era in the head of an answer, or None."""
+    """Returns the era in the head of a response, or None."""
     value = messages.header(head.headers, _ERA_HEADER)
     if value is None or len(value) > MAX_ERA_DIGITS or not value.isdigit():
         return None
@@ -425,12 +430,12 @@
         return msgspec.json.decode(answer.body, type=wanted)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
-            f"the answer cannot be read: {error}"
+            f"malformed response: {error}"
         ) from error
 
 
 def _revision_in(body: bytes) -> int:
-    """Returns the revision in a refusal of a conditional write, or 0."""
+    """Returns the revision in a rejected conditional write, or 0."""
     try:
         return msgspec.json.decode(body, type=_Object).metadata.revision
     except msgspec.MsgspecError:
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What answers say of the endpoints that gave them, decoded at the border."""
+"""Tests the decoding of notices in the responses of endpoints."""
 
 import pytest
 
@@ -91,7 +91,7 @@
 
 
 class Named(replica.Replica):
-    """A replica that names an id in all its answers."""
+    """A replica that sends an id with all its responses."""
 
     named = "i-1"
 
@@ -104,8 +104,8 @@
 async def test_health_of_another_endpoint_at_its_address_is_not_its_own(
     fleet: boxes.Boxes,
 ) -> None:
-    # An endpoint that was given up was trusted again, as the one of another
-    # service that has its address by now is healthy.
+    # Guards against reinstating an ejected endpoint because an endpoint of
+    # another service, which has taken over its address, is healthy.
     made = Named("i-1")
     await made.start()
     fleet.replicas.append(made)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store that another writer made, or that cannot be read."""
+"""Tests the handling of foreign and malformed entries of the store."""
 
 import json
 from typing import Any
@@ -69,8 +69,8 @@
 
 @pytest.mark.parametrize("changes", FOREIGN, ids=str)
 def test_what_is_no_such_entry_names_no_endpoint(changes: Any) -> None:
-    # An entry without a state was taken as ready, and so was one with the
-    # address "nowhere" or a negative time.
+    # Guards against treating an entry without a state, with the address
+    # "nowhere" or with a negative time as a ready endpoint.
     with pytest.raises(errors.PlatformError):
         documents.decode_endpoint("i-1", spec(**changes))
 
@@ -140,7 +140,7 @@
         documents.decode_box("box-1", data)
 
 
-# Through the whole path.
+# End-to-end tests.
 
 
 @pytest.mark.parametrize("foreign", ["{}", '"?"', "7", "[]"])
@@ -173,8 +173,8 @@
 async def test_entry_that_becomes_unreadable_names_no_endpoint(
     fleet: boxes.Boxes,
 ) -> None:
-    # The change was logged and passed over: work went on to an endpoint of
-    # which nothing was known any more.
+    # Guards against ignoring the malformed change and still sending requests
+    # to the endpoint, whose state is unknown.
     made = await requests.two_plain(fleet)
     box = fleet.gateways[0]
     fleet.record(made[0], builders.PLAIN, address="nowhere")
@@ -188,7 +188,8 @@
 
 
 async def test_unreadable_entry_of_a_box_leaves_the_others_known() -> None:
-    # One such entry ended each list of boxes, so that no box was found by it.
+    # Guards against one malformed entry that aborts every listing of boxes, so
+    # that no box is found.
     made = boxes.Boxes()
     made.store.start()
     made.store.write(documents.BOX_KIND, "a-first", {"box": 7})
--- a/tests/test_platform_border.py
+++ b/tests/test_platform_border.py
@@ -1,4 +1,4 @@
-"""The platform's words, decoded once: settings, documents, headers, store."""
+"""Tests the adapter to the platform: settings, documents, headers, store."""
 
 from collections.abc import AsyncIterator
 import dataclasses
@@ -27,7 +27,7 @@
     file = tmp_path / "local.toml"
     file.write_text(builders.settings_text(told))
     read = box_settings.read(str(file))
-    # The file of this test does not list the availability zones.
+    # The settings file of this test does not list the availability zones.
     assert read == dataclasses.replace(told, zones={})
 
 
@@ -252,5 +252,5 @@
     with pytest.raises(error):
         await api.create("k", "a", 1)
     stand_in.faults = platform.PlatformFaults()
-    # A connection that owed an answer is not used again.
+    # A connection without a response is not reused.
     assert (await api.get("k", "a") is None) == (not faults.lose_replies)
