--- a/martenjunction/platform/documents.py
+++ b/martenjunction/platform/documents.py
@@ -20,11 +20,11 @@
 BOX_KIND = "martenjunction-boxes"
 
 MS = 0.001
-LAST_PORT = 65535
+MAX_PORT = 65535
 
 # Errors of the decoder for malformed input: its own, and those of Python for
 # invalid Unicode, too long numbers and excessive nesting.
-_UNREADABLE = (
+_DECODE_ERRORS = (
     msgspec.MsgspecError,
     ValueError,
     OverflowError,
@@ -98,8 +98,8 @@
     tenants: list[_Workspace] | None = None
 
 
-_Name = Annotated[str, msgspec.Meta(min_length=1)]
-_Count = Annotated[int, msgspec.Meta(ge=0)]
+_NonEmptyStr = Annotated[str, msgspec.Meta(min_length=1)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _Endpoint(msgspec.Struct):
@@ -108,17 +108,17 @@
     An entry that lacks a required field was not written by a replica.
     """
 
-    service: _Name
-    address: _Name
-    zone: _Name
+    service: _NonEmptyStr
+    address: _NonEmptyStr
+    zone: _NonEmptyStr
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal["ready", "draining"]
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
-    seq: _Count
+    seq: _NonNegativeInt
     # Start time in Unix milliseconds, if replicas may restart under the same
     # name.
-    born: _Count | None = None
+    born: _NonNegativeInt | None = None
 
 
 class BoxEntry(msgspec.Struct, frozen=True):
@@ -133,11 +133,11 @@
         leaving: Whether the daemon is shutting down gracefully.
     """
 
-    box: _Name
-    zone: _Name
+    box: _NonEmptyStr
+    zone: _NonEmptyStr
     callers: str
     peers: str
-    incarnation: _Count
+    incarnation: _NonNegativeInt
     leaving: bool = False
 
 
@@ -176,7 +176,7 @@
                 wire.limits.idle_timeout_ms * MS,
             ),
         )
-    except (*_UNREADABLE, KeyError) as error:
+    except (*_DECODE_ERRORS, KeyError) as error:
         raise errors.PlatformError(
             f"malformed configuration: {error}"
         ) from error
@@ -235,7 +235,7 @@
     try:
         wire = msgspec.json.decode(spec, type=_Endpoint)
         _check_address(wire.address)
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         raise errors.PlatformError(
             f"malformed endpoint entry: {error}"
         ) from error
@@ -263,7 +263,7 @@
     """
     host, port = addresses.split_address(address)
     ipaddress.ip_address(host)
-    if not 0 < port <= LAST_PORT:
+    if not 0 < port <= MAX_PORT:
         raise ValueError(f"invalid port: {port}")
 
 
@@ -281,7 +281,7 @@
         entry = msgspec.json.decode(spec, type=BoxEntry)
         _check_address(entry.callers)
         _check_address(entry.peers)
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         raise errors.PlatformError(f"malformed box entry: {error}") from error
     if entry.box != name:
         raise errors.PlatformError(f"the entry of {name} names box {entry.box}")
--- a/martenjunction/platform/headers.py
+++ b/martenjunction/platform/headers.py
@@ -26,7 +26,7 @@
 
 # Headers of a client's request that are not forwarded: only the gateway may
 # set them, or they apply to a single hop.
-_OURS = frozenset(
+_NOT_FORWARDED = frozenset(
     {
         b"authorization",
         b"content-length",
@@ -43,7 +43,7 @@
         b"martenjunction-tenant",
     }
 )
-_FRAMING = frozenset({b"content-length"})
+_FRAMING_HEADERS = frozenset({b"content-length"})
 
 MS = 0.001
 LOWEST_URGENCY = 9
@@ -119,21 +119,21 @@
 
 def decode_request(headers: messages.Headers) -> RequestFacts:
     """Decodes the headers of a request, ignoring malformed values."""
-    found = {name.lower(): value for name, value in reversed(headers)}
-    tokens = _integers(found.get(_TOKENS, b""))
-    authorization = found.get(b"authorization", b"").decode("latin-1")
+    by_name = {name.lower(): value for name, value in reversed(headers)}
+    tokens = _integers(by_name.get(_TOKENS, b""))
+    authorization = by_name.get(b"authorization", b"").decode("latin-1")
     scheme, _, key = authorization.partition(" ")
-    deadline = _number(found.get(_DEADLINE.lower()))
-    resume = found.get(LAST_EVENT_ID.lower())
+    deadline = _number(by_name.get(_DEADLINE.lower()))
+    event_id = by_name.get(LAST_EVENT_ID.lower())
     return RequestFacts(
-        id=found.get(_REQUEST_ID.lower(), b"").decode("latin-1"),
-        host=found.get(b"host", b"").decode("latin-1"),
+        id=by_name.get(_REQUEST_ID.lower(), b"").decode("latin-1"),
+        host=by_name.get(b"host", b"").decode("latin-1"),
         key=key.strip() if scheme.lower() == "bearer" else None,
         deadline_s=None if deadline is None else deadline * MS,
-        parts=_parts(found.get(_PROMPT_PARTS, b"")),
+        parts=_parts(by_name.get(_PROMPT_PARTS, b"")),
         prompt_tokens=tokens[0] if tokens else 0,
         max_tokens=tokens[1] if len(tokens) > 1 else 0,
-        resume_from=None if resume is None else resume.decode("latin-1"),
+        resume_from=None if event_id is None else event_id.decode("latin-1"),
     )
 
 
@@ -160,27 +160,27 @@
             the client's own header.
         copies: Endpoints that keep or provide a copy of the KV cache, or None.
     """
-    kept = messages.without(headers, _OURS)
+    forwarded = messages.without(headers, _NOT_FORWARDED)
     if resume_from is not None:
         name = LAST_EVENT_ID.lower()
-        kept = [(n, v) for n, v in kept if n.lower() != name]
-        kept.append((LAST_EVENT_ID, resume_from.encode("latin-1")))
+        forwarded = [(n, v) for n, v in forwarded if n.lower() != name]
+        forwarded.append((LAST_EVENT_ID, resume_from.encode("latin-1")))
     milliseconds = max(1, int(deadline_s / MS))
-    kept.append((_DEADLINE, str(milliseconds).encode()))
-    kept.append((_EXPECT_ENDPOINT, endpoint.encode()))
+    forwarded.append((_DEADLINE, str(milliseconds).encode()))
+    forwarded.append((_EXPECT_ENDPOINT, endpoint.encode()))
     if workspace is not None:
-        kept.append((_WORKSPACE, workspace.encode()))
+        forwarded.append((_WORKSPACE, workspace.encode()))
     if urgency is not None:
-        kept.append((_URGENCY, str(min(urgency, LOWEST_URGENCY)).encode()))
+        forwarded.append((_URGENCY, str(min(urgency, LOWEST_URGENCY)).encode()))
     if copies is not None and copies.copy_to is not None:
-        kept.append((_COPY_TO, copies.copy_to.encode()))
+        forwarded.append((_COPY_TO, copies.copy_to.encode()))
     if copies is not None and copies.copied_at is not None:
         # The run that was backed up has the same id as this request.
         origin = f"{copies.copied_at}/{request_id_of(headers)}"
-        kept.append((_COPY_FROM, origin.encode()))
+        forwarded.append((_COPY_FROM, origin.encode()))
     if body_length is not None:
-        kept.append((b"Content-Length", str(body_length).encode()))
-    return kept
+        forwarded.append((b"Content-Length", str(body_length).encode()))
+    return forwarded
 
 
 def request_id_of(headers: messages.Headers) -> str:
@@ -191,7 +191,7 @@
 
 def for_client(headers: messages.Headers) -> messages.Headers:
     """Returns an endpoint's headers without those of the framing."""
-    return messages.without(headers, _FRAMING)
+    return messages.without(headers, _FRAMING_HEADERS)
 
 
 def answers_request(head: messages.ResponseHead, request_id: str) -> bool:
--- a/martenjunction/platform/notices.py
+++ b/martenjunction/platform/notices.py
@@ -6,13 +6,13 @@
 from martenjunction.http1 import messages
 
 _LEAVING = b"server-leaving"
-_REST = b"retry-after"
+_RETRY_AFTER = b"retry-after"
 _LIMIT = b"server-limit"
-_ENDPOINT = b"martenjunction-replica-id"
-_REQUEST = b"martenjunction-attempt-id"
+_ENDPOINT_ID = b"martenjunction-replica-id"
+_REQUEST_ID = b"martenjunction-attempt-id"
 
 # Statuses with which an endpoint rejects a request and may ask for back-off.
-_TURNED_AWAY = frozenset({429, 503})
+_REJECTION_STATUSES = frozenset({429, 503})
 
 # Status of an endpoint that is not the one that the request was meant for.
 _MISDIRECTED = 421
@@ -50,10 +50,10 @@
         head: The head of the response.
         endpoint: Id of the requested endpoint in its entry.
     """
-    named = head.get(_ENDPOINT)
+    sender = head.get(_ENDPOINT_ID)
     if head.status == _MISDIRECTED:
         return True
-    return named is not None and named != endpoint.encode()
+    return sender is not None and sender != endpoint.encode()
 
 
 def notice_of(head: messages.ResponseHead, endpoint: str) -> EndpointNotice:
@@ -71,37 +71,37 @@
     """
     if is_of_another(head, endpoint):
         return NOTHING
-    unreadable: list[bytes] = []
-    leaves = _says_leaving(head, unreadable)
+    malformed: list[bytes] = []
+    leaves = _is_leaving(head, malformed)
     rest_s = 0.0
-    if head.status in _TURNED_AWAY:
-        rest_s = max(_decimals(head, _REST, unreadable), default=0.0)
-    limits = _decimals(head, _LIMIT, unreadable)
+    if head.status in _REJECTION_STATUSES:
+        rest_s = max(_decimals(head, _RETRY_AFTER, malformed), default=0.0)
+    limits = _decimals(head, _LIMIT, malformed)
     return EndpointNotice(
         leaves,
         rest_s,
         min(limits, default=None),
-        head.get(_LIMIT) is None and head.get(_REQUEST) is not None,
-        unreadable[-1][:64].decode("latin-1") if unreadable else "",
+        head.get(_LIMIT) is None and head.get(_REQUEST_ID) is not None,
+        malformed[-1][:64].decode("latin-1") if malformed else "",
     )
 
 
-def _says_leaving(head: messages.ResponseHead, unreadable: list[bytes]) -> bool:
+def _is_leaving(head: messages.ResponseHead, malformed: list[bytes]) -> bool:
     value = (head.get(_LEAVING) or b"").strip()
     if value not in (b"", b"0", b"1"):
-        unreadable.append(value)
+        malformed.append(value)
     return value == b"1"
 
 
 def _decimals(
-    head: messages.ResponseHead, name: bytes, unreadable: list[bytes]
+    head: messages.ResponseHead, name: bytes, malformed: list[bytes]
 ) -> list[float]:
     """Returns the numbers in a header and collects malformed values."""
     numbers = []
     for value in head.all(name):
         number = http_headers.decimal_of(value.decode("latin-1"))
         if number is None:
-            unreadable.append(value)
+            malformed.append(value)
         else:
             numbers.append(number)
     return numbers
--- a/martenjunction/platform/store.py
+++ b/martenjunction/platform/store.py
@@ -23,7 +23,7 @@
 BODY_TIMEOUT_S = 4.0
 
 # Maximum number of idle connections that are kept for later calls.
-KEPT_CONNECTIONS = 3
+MAX_IDLE_CONNECTIONS = 3
 
 # Maximum number of pages of a list.
 MAX_PAGES = 200
@@ -102,7 +102,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     """A response of the store.
 
     Attributes:
@@ -126,7 +126,7 @@
             address: IP address and port of the store.
         """
         self._address = address
-        self._kept: list[client.ClientConnection] = []
+        self._idle: list[client.ClientConnection] = []
         self._calls: collections.Counter[str] = collections.Counter()
         self._era = 0
         self._on_era_change: Callable[[int], None] = lambda era: None
@@ -160,10 +160,10 @@
         Raises:
             PlatformError: If the store rejects or does not answer the call.
         """
-        answer = await self._call("get", "GET", _path(kind, name))
-        if answer.status == 404:
+        response = await self._call("get", "GET", _path(kind, name))
+        if response.status == 404:
             return None
-        return _object(_decode(answer, _Object), answer.era)
+        return _object(_decode(response, _Object), response.era)
 
     async def list(self, kind: str, may_be_old: bool = False) -> Listing:
         """Returns the current version of all objects of a kind.
@@ -184,13 +184,13 @@
             if may_be_old:
                 query["allow_stale"] = "1"
             path = _path(kind, query=query)
-            answer = await self._call("list", "GET", path)
-            page = _decode(answer, _Listing)
-            if era not in (None, answer.era):
+            response = await self._call("list", "GET", path)
+            page = _decode(response, _Listing)
+            if era not in (None, response.era):
                 raise errors.PlatformRefusedError(
-                    f"the pages of {kind} are from eras {era} and {answer.era}"
+                    f"pages of {kind} are from eras {era} and {response.era}"
                 )
-            era = answer.era
+            era = response.era
             objects.extend(_object(entry, era) for entry in page.entries)
             if not page.has_more or not page.entries:
                 revision = revisions.Revision(era, page.current_rev)
@@ -217,29 +217,29 @@
         """
         wait_ms = str(round(wait_s * 1000))
         query = {"watch": str(after.number), "wait_ms": wait_ms}
-        answer = await self._call(
+        response = await self._call(
             "watch",
             "GET",
             _path(kind, query=query),
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
-        if answer.status == 410:
+        if response.status == 410:
             raise errors.HistoryLostError(
                 f"the store has dropped changes after {after}"
             )
-        decoded = _decode(answer, _Events)
-        if answer.era != after.era:
+        decoded = _decode(response, _Events)
+        if response.era != after.era:
             # The store may already have reused this number, so that changes
             # would be missed.
             raise errors.HistoryLostError(
-                f"revision {after} is not from era {answer.era}"
+                f"revision {after} is not from era {response.era}"
             )
         return Changes(
             tuple(
-                Change(_object(event.object, answer.era), event.deleted)
+                Change(_object(event.object, response.era), event.deleted)
                 for event in decoded.events
             ),
-            revisions.Revision(answer.era, decoded.current_rev),
+            revisions.Revision(response.era, decoded.current_rev),
         )
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
@@ -296,26 +296,28 @@
         if revision is not None:
             self._check_era(name, revision)
             query["revision"] = str(revision.number)
-        answer = await self._call("delete", "DELETE", _path(kind, name, query))
-        if answer.status == 409:
-            raise errors.VersionConflictError(name, _revision_in(answer.body))
-        if answer.status not in (200, 204, 404):
-            _decode(answer, _Object)
+        response = await self._call(
+            "delete", "DELETE", _path(kind, name, query)
+        )
+        if response.status == 409:
+            raise errors.VersionConflictError(name, _revision_in(response.body))
+        if response.status not in (200, 204, 404):
+            _decode(response, _Object)
 
     def close(self) -> None:
         """Closes all idle connections."""
-        for connection in self._kept:
+        for connection in self._idle:
             connection.abort()
-        self._kept.clear()
+        self._idle.clear()
 
     async def _write(
-        self, what: str, method: str, path: str, name: str, document: Any
+        self, operation: str, method: str, path: str, name: str, document: Any
     ) -> StoredObject:
         body = msgspec.json.encode(document)
-        answer = await self._call(what, method, path, body)
-        if answer.status == 409:
-            raise errors.VersionConflictError(name, _revision_in(answer.body))
-        return _object(_decode(answer, _Object), answer.era)
+        response = await self._call(operation, method, path, body)
+        if response.status == 409:
+            raise errors.VersionConflictError(name, _revision_in(response.body))
+        return _object(_decode(response, _Object), response.era)
 
     def _check_era(self, name: str, revision: revisions.Revision) -> None:
         """Rejects a condition on a revision of an earlier era.
@@ -330,14 +332,14 @@
 
     async def _call(
         self,
-        what: str,
+        operation: str,
         method: str,
         path: str,
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> _Answer:
+    ) -> _Response:
         """Makes a call and closes the connection if no response is received."""
-        self._calls[what] += 1
+        self._calls[operation] += 1
         connection = await self._connect()
         headers = [(b"Host", self._address.encode())]
         if body:
@@ -351,7 +353,7 @@
         except (errors.TransportError, TimeoutError) as error:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"no response to {what}: {error or 'time-out'}"
+                f"no response to {operation}: {error or 'time-out'}"
             ) from error
         except asyncio.CancelledError:
             connection.abort()
@@ -362,16 +364,16 @@
         if era < self.era:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"the response to {what} is from era {era}, before {self.era}"
+                f"response to {operation} is from era {era}, before {self.era}"
             )
         if connection.finish():
-            self._keep(connection)
+            self._release(connection)
         self.update_era(era)
-        return _Answer(head.status, content, era)
+        return _Response(head.status, content, era)
 
     async def _connect(self) -> client.ClientConnection:
-        while self._kept:
-            connection = self._kept.pop()
+        while self._idle:
+            connection = self._idle.pop()
             if connection.is_quiet():
                 return connection
             connection.abort()
@@ -382,9 +384,9 @@
             raise errors.PlatformUnavailableError(str(error)) from error
         return connection
 
-    def _keep(self, connection: client.ClientConnection) -> None:
-        if len(self._kept) < KEPT_CONNECTIONS:
-            self._kept.append(connection)
+    def _release(self, connection: client.ClientConnection) -> None:
+        if len(self._idle) < MAX_IDLE_CONNECTIONS:
+            self._idle.append(connection)
         else:
             connection.abort()
 
@@ -421,13 +423,13 @@
     return StoredObject(wire.metadata.name, revision, bytes(wire.spec))
 
 
-def _decode(answer: _Answer, wanted: Any) -> Any:
-    if answer.status in (429, 503):
-        raise errors.PlatformRefusedError(f"status {answer.status}")
-    if answer.status not in (200, 201):
-        raise errors.PlatformUnavailableError(f"status {answer.status}")
+def _decode(response: _Response, expected_type: Any) -> Any:
+    if response.status in (429, 503):
+        raise errors.PlatformRefusedError(f"status {response.status}")
+    if response.status not in (200, 201):
+        raise errors.PlatformUnavailableError(f"status {response.status}")
     try:
-        return msgspec.json.decode(answer.body, type=wanted)
+        return msgspec.json.decode(response.body, type=expected_type)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
             f"malformed response: {error}"
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -10,17 +10,17 @@
 
 
 def notice(
-    status: int, endpoint: str = "e1", **named: str
+    status: int, endpoint: str = "e1", **fields: str
 ) -> notices.EndpointNotice:
     pairs = [
         (name.replace("_", "-").encode(), value.encode())
-        for name, value in named.items()
+        for name, value in fields.items()
     ]
     return notices.notice_of(messages.ResponseHead(status, pairs), endpoint)
 
 
 @pytest.mark.parametrize("status", [200, 404, 429, 500, 503])
-def test_any_answer_tells_that_its_endpoint_leaves(status: int) -> None:
+def test_any_response_may_report_leaving(status: int) -> None:
     assert notice(status, Server_Leaving="1").leaves
 
 
@@ -29,11 +29,11 @@
     ("value", "rest_s"),
     [("3", 3.0), ("0.25", 0.25), (" 2 ", 2.0), ("3600", 3600.0), ("0", 0.0)],
 )
-def test_rest_is_a_number_of_seconds(
+def test_backoff_is_a_number_of_seconds(
     status: int, value: str, rest_s: float
 ) -> None:
-    told = notice(status, Retry_After=value)
-    assert told == notices.EndpointNotice(rest_s=rest_s)
+    decoded = notice(status, Retry_After=value)
+    assert decoded == notices.EndpointNotice(rest_s=rest_s)
 
 
 @pytest.mark.parametrize(
@@ -41,12 +41,12 @@
     ["-1", "nan", "inf", "1e9", "soon", "1_0", "0x3", "3,5"]
     + ["Wed, 21 Oct 2026 07:28:00 GMT", "9" * 40],
 )
-def test_rest_that_is_no_number_is_told_as_unreadable(value: str) -> None:
-    told = notice(503, Retry_After=value)
-    assert (told.rest_s, told.unreadable) == (0.0, value[:64])
+def test_malformed_backoff_is_reported(value: str) -> None:
+    decoded = notice(503, Retry_After=value)
+    assert (decoded.rest_s, decoded.unreadable) == (0.0, value[:64])
 
 
-def test_answers_that_turn_nothing_away_ask_for_no_rest() -> None:
+def test_backoff_applies_only_to_rejections() -> None:
     assert notice(200, Retry_After="3") == notices.NOTHING
     assert notice(500, Retry_After="3") == notices.NOTHING
 
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(
     ("value", "per_s"), [("2.1", 2.1), (" 1 ", 1.0), ("0", 0.0), ("0.25", 0.25)]
 )
-def test_any_answer_names_a_limit_in_requests_a_second(
+def test_any_response_may_set_a_rate_limit(
     status: int, value: str, per_s: float
 ) -> None:
     assert notice(status, Server_Limit=value).limit_per_s == per_s
@@ -64,55 +64,55 @@
 @pytest.mark.parametrize(
     "value", ["-1", "+2", "nan", "inf", "1e9", "two", "", "2, 1", "9" * 40]
 )
-def test_limit_that_is_no_number_is_told_as_unreadable(value: str) -> None:
-    told = notice(200, Server_Limit=value)
-    assert told.limit_per_s is None
-    assert told.unreadable == value[:64]
+def test_malformed_limit_is_reported(value: str) -> None:
+    decoded = notice(200, Server_Limit=value)
+    assert decoded.limit_per_s is None
+    assert decoded.unreadable == value[:64]
 
 
-def test_of_several_limits_the_least_one_holds() -> None:
+def test_lowest_of_several_limits_applies() -> None:
     pairs = [(b"Server-Limit", v) for v in (b"3", b"1.5", b"many")]
-    told = notices.notice_of(messages.ResponseHead(200, pairs), "e1")
-    assert told == notices.EndpointNotice(limit_per_s=1.5, unreadable="many")
+    decoded = notices.notice_of(messages.ResponseHead(200, pairs), "e1")
+    assert decoded == notices.EndpointNotice(limit_per_s=1.5, unreadable="many")
 
 
 @pytest.mark.parametrize("value", ["0", "", "yes"])
-def test_other_values_do_not_say_that_it_leaves(value: str) -> None:
+def test_other_values_do_not_report_leaving(value: str) -> None:
     assert not notice(200, Server_Leaving=value).leaves
 
 
-def test_answer_of_another_endpoint_says_nothing_of_this_one() -> None:
-    named = {"Server_Leaving": "1", "Retry_After": "3"}
-    assert notice(421, **named) == notices.NOTHING
-    other = {"Martenjunction_Replica_Id": "e2", **named}
+def test_response_of_another_endpoint_has_no_notices() -> None:
+    fields = {"Server_Leaving": "1", "Retry_After": "3"}
+    assert notice(421, **fields) == notices.NOTHING
+    other = {"Martenjunction_Replica_Id": "e2", **fields}
     assert notice(503, **other) == notices.NOTHING
-    own = {"Martenjunction_Replica_Id": "e1", **named}
+    own = {"Martenjunction_Replica_Id": "e1", **fields}
     assert notice(503, **own) == notices.EndpointNotice(True, 3.0)
 
 
-class Named(replica.Replica):
+class ReplicaWithId(replica.Replica):
     """A replica that sends an id with all its responses."""
 
-    named = "i-1"
+    replica_id = "i-1"
 
     def _notices(
         self, request: replica.Received, status: int
     ) -> dict[str, str]:
-        return {"Martenjunction-Replica-Id": self.named}
+        return {"Martenjunction-Replica-Id": self.replica_id}
 
 
-async def test_health_of_another_endpoint_at_its_address_is_not_its_own(
+async def test_health_check_rejects_another_endpoint_at_the_address(
     fleet: boxes.Boxes,
 ) -> None:
     # Guards against reinstating an ejected endpoint because an endpoint of
     # another service, which has taken over its address, is healthy.
-    made = Named("i-1")
-    await made.start()
-    fleet.replicas.append(made)
-    fleet.record(made, builders.PLAIN)
+    server = ReplicaWithId("i-1")
+    await server.start()
+    fleet.replicas.append(server)
+    fleet.record(server, builders.PLAIN)
     await fleet.until_listed()
     box = fleet.gateways[0]
     endpoint = box.listed.entries["i-1"].endpoint
     assert await box.prober._ask(endpoint, "/healthz")
-    made.named = "i-2"
+    server.replica_id = "i-2"
     assert not await box.prober._ask(endpoint, "/healthz")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -26,7 +26,7 @@
     "born": 1767295651795,
 }
 
-FOREIGN = [
+INVALID_CHANGES = [
     *({"lacks": name} for name in ENTRY if name != "born"),
     {"state": "resting"},
     {"state": 1},
@@ -59,7 +59,7 @@
     return json.dumps(entry).encode()
 
 
-def test_entry_of_a_replica_names_an_endpoint() -> None:
+def test_entry_of_a_replica_is_decoded() -> None:
     found = documents.decode_endpoint("i-1", spec(phase="x", models=[{}]))
     assert (found.entry, found.address) == ("i-1", "10.0.0.1:80")
     assert found.state is model.EndpointState.READY
@@ -67,8 +67,8 @@
     assert (old.id, old.entry) == ("i-1", "i-1")
 
 
-@pytest.mark.parametrize("changes", FOREIGN, ids=str)
-def test_what_is_no_such_entry_names_no_endpoint(changes: Any) -> None:
+@pytest.mark.parametrize("changes", INVALID_CHANGES, ids=str)
+def test_invalid_entry_is_rejected(changes: Any) -> None:
     # Guards against treating an entry without a state, with the address
     # "nowhere" or with a negative time as a ready endpoint.
     with pytest.raises(errors.PlatformError):
@@ -94,7 +94,7 @@
     "peers": "10.0.0.1:2",
     "incarnation": 5,
 }
-near = st.one_of(
+almost_valid = st.one_of(
     *(
         st.builds(lambda d, k, v: {**d, k: v}, st.just(known), keys, anything)
         for known in (ENTRY, box_entry, builders.config_document())
@@ -110,15 +110,19 @@
 )
 
 
-@given(decoders, st.binary(max_size=60) | (anything | near).map(json.dumps))
-def test_decoders_refuse_rubbish_by_one_error(decode: Any, data: Any) -> None:
+@given(
+    decoders, st.binary(max_size=60) | (anything | almost_valid).map(json.dumps)
+)
+def test_decoders_reject_malformed_data_with_platform_error(
+    decode: Any, data: Any
+) -> None:
     try:
         decode(data if isinstance(data, bytes) else data.encode())
     except errors.PlatformError:
         return
 
 
-def test_rubbish_that_is_deep_is_refused() -> None:
+def test_deeply_nested_data_is_rejected() -> None:
     with pytest.raises(errors.PlatformError):
         documents.decode_config(b'{"x":' + b"[" * 100_000)
 
@@ -134,7 +138,7 @@
     ],
     ids=str,
 )
-def test_foreign_entry_of_a_box_is_refused(changes: Any) -> None:
+def test_invalid_entry_of_a_box_is_rejected(changes: Any) -> None:
     data = json.dumps({**box_entry, **changes}).encode()
     with pytest.raises(errors.PlatformError):
         documents.decode_box("box-1", data)
@@ -144,23 +148,25 @@
 
 
 @pytest.mark.parametrize("foreign", ["{}", '"?"', "7", "[]"])
-async def test_foreign_entry_costs_the_others_nothing(
+async def test_malformed_entry_does_not_affect_others(
     fleet: boxes.Boxes, foreign: str
 ) -> None:
-    made = await requests.two_plain(fleet)
+    replicas = await requests.two_plain(fleet)
     for number in range(54):
-        fleet.record(made[0], builders.PLAIN, address=f"127.0.0.1:{number + 1}")
-        entry = fleet.store.find(documents.ENDPOINT_KIND, made[0].id)
+        fleet.record(
+            replicas[0], builders.PLAIN, address=f"127.0.0.1:{number + 1}"
+        )
+        entry = fleet.store.find(documents.ENDPOINT_KIND, replicas[0].id)
         assert entry is not None
         fleet.store.write(
             documents.ENDPOINT_KIND, f"more-{number}", dict(entry.spec)
         )
-    fleet.record(made[0], builders.PLAIN)
+    fleet.record(replicas[0], builders.PLAIN)
     box = fleet.gateways[0]
     await boxes.until(lambda: len(box.listed.entries) == 56)
     fleet.store.write(documents.ENDPOINT_KIND, "more-7", json.loads(foreign))
     await boxes.until(lambda: not box.listed.may_send("more-7"))
-    await boxes.until(lambda: box.listed.may_send(made[0].id))
+    await boxes.until(lambda: box.listed.may_send(replicas[0].id))
     assert len(box.listed.ready_ids()) == 55
     assert box.picture.unreadable == 1
     fleet.store.forget_history()
@@ -170,38 +176,38 @@
     assert box.picture.unreadable == 1
 
 
-async def test_entry_that_becomes_unreadable_names_no_endpoint(
+async def test_endpoint_is_removed_when_its_entry_becomes_malformed(
     fleet: boxes.Boxes,
 ) -> None:
     # Guards against ignoring the malformed change and still sending requests
     # to the endpoint, whose state is unknown.
-    made = await requests.two_plain(fleet)
+    replicas = await requests.two_plain(fleet)
     box = fleet.gateways[0]
-    fleet.record(made[0], builders.PLAIN, address="nowhere")
-    await boxes.until(lambda: not box.listed.may_send(made[0].id))
+    fleet.record(replicas[0], builders.PLAIN, address="nowhere")
+    await boxes.until(lambda: not box.listed.may_send(replicas[0].id))
     for number in range(6):
         head, _ = await requests.ask(fleet, "/safe/", f"r{number}")
         assert head.status == 200
-    assert not made[0].received
-    fleet.record(made[0], builders.PLAIN)
-    await boxes.until(lambda: box.listed.may_send(made[0].id))
+    assert not replicas[0].received
+    fleet.record(replicas[0], builders.PLAIN)
+    await boxes.until(lambda: box.listed.may_send(replicas[0].id))
 
 
-async def test_unreadable_entry_of_a_box_leaves_the_others_known() -> None:
+async def test_malformed_entry_of_a_box_does_not_affect_others() -> None:
     # Guards against one malformed entry that aborts every listing of boxes, so
     # that no box is found.
-    made = boxes.Boxes()
-    made.store.start()
-    made.store.write(documents.BOX_KIND, "a-first", {"box": 7})
-    made.configure(builders.config_document())
-    await made.add_box("box-1")
-    await made.add_box("box-2")
-    one = made.gateways[0]
+    fleet = boxes.Boxes()
+    fleet.store.start()
+    fleet.store.write(documents.BOX_KIND, "a-first", {"box": 7})
+    fleet.configure(builders.config_document())
+    await fleet.add_box("box-1")
+    await fleet.add_box("box-2")
+    one = fleet.gateways[0]
     await boxes.until(lambda: "box-2" in one.members.members)
-    await made.stop()
+    await fleet.stop()
 
 
-async def test_unreadable_configuration_is_no_loss_of_the_store(
+async def test_malformed_configuration_does_not_count_as_store_loss(
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
--- a/tests/test_platform_border.py
+++ b/tests/test_platform_border.py
@@ -20,19 +20,19 @@
 from tests import routing_builders as builders
 
 
-def test_settings_are_read_with_the_projects_names(
+def test_settings_are_read_with_internal_names(
     tmp_path: pathlib.Path,
 ) -> None:
-    told = boxes.settings("edge-a-1", "10.200.0.1:8223", metrics_port=9464)
+    settings = boxes.settings("edge-a-1", "10.200.0.1:8223", metrics_port=9464)
     file = tmp_path / "local.toml"
-    file.write_text(builders.settings_text(told))
+    file.write_text(builders.settings_text(settings))
     read = box_settings.read(str(file))
     # The settings file of this test does not list the availability zones.
-    assert read == dataclasses.replace(told, zones={})
+    assert read == dataclasses.replace(settings, zones={})
 
 
 @pytest.mark.parametrize("broken", ["", "node = ", "node = 'x'"])
-def test_settings_that_lack_something_are_an_error(
+def test_incomplete_settings_are_rejected(
     tmp_path: pathlib.Path, broken: str
 ) -> None:
     file = tmp_path / "local.toml"
@@ -62,7 +62,7 @@
     assert config.find_route("other.example", "/a/b/c") is None
 
 
-def test_split_route_and_no_keys_at_all() -> None:
+def test_split_route_in_a_configuration_without_keys() -> None:
     document = builders.config_document(
         routes=[
             builders.route(
@@ -82,7 +82,7 @@
     assert not config.needs_keys
 
 
-def test_unreadable_documents_are_the_platforms_error() -> None:
+def test_malformed_documents_raise_a_platform_error() -> None:
     with pytest.raises(errors.PlatformError):
         documents.decode_config(b"{}")
     with pytest.raises(errors.PlatformError):
@@ -114,7 +114,7 @@
         (500, [(b"Martenjunction-Replica-Seal", b"s")], False),
     ],
 )
-def test_what_an_endpoint_says_of_not_running(
+def test_responses_report_whether_the_request_was_run(
     status: int, pairs: messages.Headers, not_run: bool
 ) -> None:
     head = messages.ResponseHead(status, pairs)
@@ -130,7 +130,7 @@
         (None, 200, False),
     ],
 )
-def test_answers_are_matched_by_their_id(
+def test_responses_are_matched_by_request_id(
     echoed: bytes | None, status: int, ours: bool
 ) -> None:
     pairs = [] if echoed is None else [(b"martenjunction-attempt-id", echoed)]
@@ -142,7 +142,7 @@
     ("workspace", "tier", "urgency"),
     [(None, 0, 0), (None, 2, 4), (0, 2, 4), (1, 0, 1), (3, 2, 5), (0, 9, 9)],
 )
-def test_urgency_goes_by_route_then_workspace(
+def test_urgency_depends_on_route_then_workspace(
     workspace: int | None, tier: int, urgency: int
 ) -> None:
     route = builders.config(
@@ -156,65 +156,69 @@
 
 
 @pytest.fixture
-async def stand_in() -> AsyncIterator[platform.Platform]:
-    made = platform.Platform(seed=3)
-    made.start()
-    yield made
-    await made.stop()
+async def fake_platform() -> AsyncIterator[platform.Platform]:
+    server = platform.Platform(seed=3)
+    server.start()
+    yield server
+    await server.stop()
 
 
 @pytest.fixture
-async def api(stand_in: platform.Platform) -> AsyncIterator[store.StoreClient]:
-    made = store.StoreClient(stand_in.address)
-    yield made
-    made.close()
+async def api(
+    fake_platform: platform.Platform,
+) -> AsyncIterator[store.StoreClient]:
+    client = store.StoreClient(fake_platform.address)
+    yield client
+    client.close()
 
 
-async def test_objects_are_made_read_replaced_and_removed(
+async def test_objects_are_created_read_replaced_and_deleted(
     api: store.StoreClient,
 ) -> None:
-    made = await api.create("k", "a/b", {"x": 1})
-    found = await api.get("k", "a/b")
-    assert found is not None and json.loads(found.spec) == {"x": 1}
-    changed = await api.replace("k", "a/b", {"x": 2}, made.revision)
-    assert changed.revision > made.revision
+    created = await api.create("k", "a/b", {"x": 1})
+    stored = await api.get("k", "a/b")
+    assert stored is not None and json.loads(stored.spec) == {"x": 1}
+    changed = await api.replace("k", "a/b", {"x": 2}, created.revision)
+    assert changed.revision > created.revision
     await api.delete("k", "a/b", changed.revision)
     assert await api.get("k", "a/b") is None
     await api.delete("k", "a/b", None)
 
 
-async def test_conditional_writes_meet_conflicts(
+async def test_conditional_writes_raise_conflicts(
     api: store.StoreClient,
 ) -> None:
-    made = await api.create("k", "a", 1)
+    created = await api.create("k", "a", 1)
     with pytest.raises(errors.VersionConflictError) as caught:
         await api.create("k", "a", 2)
-    assert caught.value.current == made.revision.number
-    later = dataclasses.replace(made.revision, number=made.revision.number + 7)
+    assert caught.value.current == created.revision.number
+    later = dataclasses.replace(
+        created.revision, number=created.revision.number + 7
+    )
     with pytest.raises(errors.VersionConflictError):
         await api.replace("k", "a", 2, later)
     with pytest.raises(errors.VersionConflictError):
         await api.delete("k", "a", later)
 
 
-async def test_long_lists_come_in_pages(
-    stand_in: platform.Platform, api: store.StoreClient
+async def test_long_lists_are_read_in_pages(
+    fake_platform: platform.Platform, api: store.StoreClient
 ) -> None:
     for number in range(1201):
-        stand_in.write("k", f"n{number:05d}", number)
+        fake_platform.write("k", f"n{number:05d}", number)
     listing = await api.list("k")
     assert len(listing.objects) == 1201
-    assert listing.revision == builders.rev(stand_in.version)
-    assert stand_in.calls["read"] == 3
+    assert listing.revision == builders.rev(fake_platform.version)
+    assert fake_platform.calls["read"] == 3
 
 
-async def test_watch_tells_changes_and_ends(
-    stand_in: platform.Platform, api: store.StoreClient
+async def test_watch_returns_changes_and_deletions(
+    fake_platform: platform.Platform, api: store.StoreClient
 ) -> None:
     listing = await api.list("k")
-    stand_in.write("k", "a", 1)
-    stand_in.write("other", "b", 1)
-    stand_in.write("k", "a", None)
+    fake_platform.write("k", "a", 1)
+    fake_platform.write("other", "b", 1)
+    fake_platform.write("k", "a", None)
     changes = await api.watch("k", listing.revision, 5.0)
     assert [(c.object.name, c.deleted) for c in changes.changes] == [
         ("a", False),
@@ -222,11 +226,11 @@
     ]
 
 
-async def test_watch_after_lost_history_says_so(
-    stand_in: platform.Platform, api: store.StoreClient
+async def test_watch_reports_lost_history(
+    fake_platform: platform.Platform, api: store.StoreClient
 ) -> None:
-    stand_in.write("k", "a", 1)
-    stand_in.forget_history()
+    fake_platform.write("k", "a", 1)
+    fake_platform.forget_history()
     with pytest.raises(errors.HistoryLostError):
         await api.watch("k", builders.rev(0), 1.0)
 
@@ -242,15 +246,15 @@
         ),
     ],
 )
-async def test_refused_and_unanswered_calls_are_told_apart(
-    stand_in: platform.Platform,
+async def test_rejected_and_unanswered_calls_raise_different_errors(
+    fake_platform: platform.Platform,
     api: store.StoreClient,
     faults: platform.PlatformFaults,
     error: type[errors.PlatformError],
 ) -> None:
-    stand_in.faults = faults
+    fake_platform.faults = faults
     with pytest.raises(error):
         await api.create("k", "a", 1)
-    stand_in.faults = platform.PlatformFaults()
+    fake_platform.faults = platform.PlatformFaults()
     # A connection without a response is not reused.
     assert (await api.get("k", "a") is None) == (not faults.lose_replies)
