--- a/martenjunction/objects/__init__.py
+++ b/martenjunction/objects/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own objects: configuration, claims and the list of boxes."""
+"""Objects in the platform's store: configuration, claims, list of boxes."""
--- a/martenjunction/objects/client.py
+++ b/martenjunction/objects/client.py
@@ -1,7 +1,7 @@
-"""Our own objects by key, over the platform's one store client.
+"""Access to objects by key, on top of the client of the platform's store.
 
-A key such as `config/class/quote` is an object of the kind named after its
-first part; the rest is its name.
+The first part of a key such as `config/class/quote` determines the object's
+kind; the rest is its name.
 """
 
 from typing import Any
@@ -21,48 +21,49 @@
     """Reads, conditionally writes and watches objects."""
 
     def __init__(self, url: str) -> None:
-        """Makes a client.
+        """Initializes the client.
 
         Args:
-            url: The platform's address, such as `http://127.0.0.1:6000`.
+            url: The platform's URL, such as `http://127.0.0.1:6000`.
         """
         address = url.removeprefix("http://").rstrip("/")
         self._store = store.StoreClient(address)
 
     @property
     def calls(self) -> dict[str, int]:
-        """Calls made so far, by kind."""
+        """Number of calls by operation."""
         return self._store.calls
 
     def close(self) -> None:
-        """Ends all kept connections."""
+        """Closes all idle connections."""
         self._store.close()
 
     async def get(self, key: str) -> model.PlatformObject | None:
-        """Returns an object, or None.
+        """Returns an object, or None if it does not exist.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the platform rejects or does not answer the call.
         """
         kind, name = split_key(key)
         found = await self._store.get(kind, name)
         return None if found is None else _object(key, found)
 
     async def put(self, key: str, value: Any, version: int) -> int:
-        """Writes an object if it is still at a version.
+        """Writes an object if it has the expected version.
 
         Args:
             key: The object's key.
-            value: Anything that JSON can hold.
-            version: The version it must have; 0 if it must not exist.
+            value: A value that can be encoded as JSON.
+            version: The expected version, or 0 if the object must not exist.
 
         Returns:
             The new version.
 
         Raises:
-            VersionConflictError: If it has another version.
-            PlatformRefusedError: If it was not carried out.
-            PlatformUnavailableError: If it may or may not have taken effect.
+            VersionConflictError: If the object has another version.
+            PlatformRefusedError: If the call had no effect.
+            PlatformUnavailableError: If it is unknown whether the object was
+                written.
         """
         kind, name = split_key(key)
         try:
@@ -76,13 +77,13 @@
         return written.revision.number
 
     async def list_objects(self, prefix: str) -> model.ObjectList:
-        """Returns all objects whose keys begin with a prefix.
+        """Returns all objects whose keys start with a prefix.
 
         Args:
-            prefix: The first part of the keys, with its slash.
+            prefix: The first part of the keys, including the slash.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the platform rejects or does not answer a call.
         """
         kind, _ = split_key(prefix)
         listing = await self._store.list(kind)
@@ -97,16 +98,17 @@
         """Waits for changes.
 
         Args:
-            prefix: The first part of the keys, with its slash.
+            prefix: The first part of the keys, including the slash.
             after: The version up to which changes are known.
             wait: Seconds to wait for the first change.
 
         Returns:
-            The objects changed since, deleted ones with no value; or None
-            if the version is too old and the objects must be listed anew.
+            The objects changed since then, where deleted ones have no value;
+            or None if the version is too old and the objects must be listed
+            again.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the platform rejects or does not answer the call.
         """
         kind, _ = split_key(prefix)
         try:
@@ -128,10 +130,11 @@
         )
 
     async def boxes(self, after: int) -> model.BoxList:
-        """Returns the boxes that changed since a version of the list.
+        """Returns the boxes that changed after a version of the list.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the platform rejects or does not answer the call,
+                or if the list is malformed.
         """
         listing = await self._store.list(LISTED_KIND)
         try:
@@ -142,7 +145,7 @@
             ]
         except msgspec.MsgspecError as error:
             raise errors.PlatformUnavailableError(
-                f"the list cannot be read: {error}"
+                f"malformed list of boxes: {error}"
             ) from error
         newest = max(
             (found.revision.number for found in listing.objects), default=0
@@ -151,7 +154,7 @@
 
 
 def split_key(key: str) -> tuple[str, str]:
-    """Returns the kind and the name of the object under a key."""
+    """Returns the kind and name of the object with a key."""
     first, _, rest = key.partition("/")
     return KIND_PREFIX + first, rest
 
@@ -161,6 +164,6 @@
         value = msgspec.json.decode(found.spec)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
-            f"{key} cannot be read: {error}"
+            f"malformed value of {key}: {error}"
         ) from error
     return model.PlatformObject(key, found.revision.number, value)
--- a/martenjunction/objects/configuration.py
+++ b/martenjunction/objects/configuration.py
@@ -1,4 +1,4 @@
-"""How operators change the configuration that the platform keeps."""
+"""Operators' changes to the configuration in the platform's store."""
 
 import dataclasses
 import time
@@ -10,27 +10,28 @@
 from martenjunction.objects import client as object_client
 from martenjunction.objects import model
 
-# Former versions that are kept in an object.
+# Maximum number of previous versions that are stored in an object.
 MAX_HISTORY = 10
 
-# Tries of one write whose reply is lost.
+# Maximum number of attempts of a write whose response is lost.
 MAX_TRIES = 6
 
-# Sections that others refer to are written first.
+# Order of writes: sections that others refer to come first.
 ORDER = ("class", "service", "endpoint", "workspace", "binding", "policy")
 
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """One accepted change of one object.
+    """An accepted change of an object.
 
     Attributes:
-        key: The object.
-        version: Its version since.
-        values: Key to text, or None where it was deleted.
-        change_id: Unique; finds a write again whose reply was lost.
-        operator: Who made it.
-        at: Wall-clock time, in seconds since 1970.
+        key: The object's key.
+        version: The object's version after the change.
+        values: Settings of the object, or None if it was deleted.
+        change_id: Unique id by which a write can be found whose response was
+            lost.
+        operator: Name of the operator who made the change.
+        at: Time of the change in Unix seconds.
     """
 
     key: str
@@ -42,10 +43,10 @@
 
 
 class ConflictError(errors.MartenjunctionError):
-    """Another operator changed an object first.
+    """Another operator has changed the object concurrently.
 
     Attributes:
-        theirs: The change that stands.
+        theirs: The change that was accepted.
     """
 
     def __init__(self, theirs: Change, ours: dict[str, str] | None) -> None:
@@ -53,12 +54,13 @@
         difference = "; ".join(diff_values(theirs.values, ours)) or "the same"
         super().__init__(
             f"{theirs.key} was changed by {theirs.operator or 'somebody'} to"
-            f" version {theirs.version}; theirs against yours: {difference}"
+            f" version {theirs.version}; differences to your change:"
+            f" {difference}"
         )
 
 
 def values_of(item: model.PlatformObject) -> dict[str, str] | None:
-    """Returns the values in a configuration object, or None if deleted."""
+    """Returns the values of a configuration object, or None if deleted."""
     if not isinstance(item.value, dict):
         return None
     values = item.value.get("values")
@@ -68,7 +70,7 @@
 def diff_values(
     old: dict[str, str] | None, new: dict[str, str] | None
 ) -> list[str]:
-    """Returns the keys that differ, one line each."""
+    """Returns a line for each key whose value differs."""
     before = old or {}
     after = new or {}
     lines = []
@@ -87,17 +89,17 @@
     def __init__(
         self, platform: object_client.ObjectClient, operator: str
     ) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
-            platform: Where the objects are.
-            operator: Who changes them.
+            platform: Client of the platform's store.
+            operator: Name of the operator who makes changes.
         """
         self._platform = platform
         self._operator = operator
 
     async def current(self) -> dict[str, Change]:
-        """Returns every object as it stands.
+        """Returns the current version of every object by key.
 
         Raises:
             PlatformError: If the platform does not answer.
@@ -106,7 +108,7 @@
         return {item.key: _to_change(item) for item in listed.objects}
 
     async def history(self, key: str) -> list[Change]:
-        """Returns an object's versions, the newest first.
+        """Returns the versions of an object, newest first.
 
         Raises:
             PlatformError: If the platform does not answer.
@@ -117,19 +119,19 @@
         return [_to_change(item), *_former(item)]
 
     async def apply(self, documents: list[fleet.Document]) -> list[Change]:
-        """Writes what differs from what stands.
+        """Writes the documents that differ from the current objects.
 
-        Each object is one conditional update. Where one of them meets a
-        conflict, those before it stand.
+        Each object is written by its own conditional update. After a conflict,
+        the updates before it remain in effect.
 
         Args:
-            documents: Checked documents.
+            documents: The validated documents.
 
         Returns:
             The accepted changes.
 
         Raises:
-            ConflictError: If another operator was first.
+            ConflictError: If another operator has changed an object.
             PlatformError: If the platform does not answer.
         """
         current = await self.current()
@@ -145,11 +147,11 @@
         return accepted
 
     async def rollback(self, key: str, version: int) -> Change:
-        """Writes an object's former values as a new version.
+        """Writes the values of a previous version as a new version.
 
         Raises:
-            MartenjunctionError: If the object never had that version.
-            ConflictError: If another operator was first.
+            MartenjunctionError: If the version is not in the object's history.
+            ConflictError: If another operator has changed the object.
             PlatformError: If the platform does not answer.
         """
         versions = await self.history(key)
@@ -161,14 +163,15 @@
     async def write(
         self, key: str, values: dict[str, str] | None, version: int
     ) -> Change:
-        """Writes one object if it is still at a version.
+        """Writes an object if it has the expected version.
 
-        A lost reply is resolved by reading the object back and looking for
-        the id of this change.
+        If the response is lost, the object's history is searched for the id of
+        this change.
 
         Raises:
-            ConflictError: If another operator was first.
-            PlatformError: If the platform does not answer.
+            ConflictError: If another operator has changed the object.
+            PlatformError: If the platform does not answer, or if it is unknown
+                whether the object was written.
         """
         held = await self._platform.get(key)
         self._check(held, key, version, values)
@@ -190,7 +193,7 @@
             else:
                 return _to_change(model.PlatformObject(key, written, value))
         raise errors.PlatformUnavailableError(
-            f"it is not known whether {key} was written; run apply again"
+            f"it is unknown whether {key} was written; run apply again"
         )
 
     async def _find(self, key: str, change_id: str) -> Change | None:
@@ -253,12 +256,12 @@
     operator: str,
     held: model.PlatformObject | None,
 ) -> dict[str, Any]:
-    """Returns what the platform is to keep of a change.
+    """Returns the value to store for a change, including the history.
 
     Args:
-        values: Key to text, or None to delete the object.
-        operator: Who makes the change.
-        held: The object as it stands, whose history goes on.
+        values: Settings of the object, or None to delete it.
+        operator: Name of the operator who makes the change.
+        held: The current object, whose history is continued, or None.
     """
     return {
         "values": values,
--- a/martenjunction/objects/feed.py
+++ b/martenjunction/objects/feed.py
@@ -1,8 +1,8 @@
-"""Follows the platform: configuration by watching, boxes by polling.
+"""Reads the platform: watches the configuration and polls the boxes.
 
-Only a few daemons of each availability zone follow it all the time; they pass
-on to the others what they learn, so that the platform's calls grow with the
-number of zones rather than with the fleet.
+Only a few daemons of each availability zone read the platform continuously and
+forward changes to the others, so that the number of calls to the platform grows
+with the number of zones rather than with the size of the fleet.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class PlatformFeed:
-    """One daemon's reading of the platform."""
+    """A daemon's subscription to the platform."""
 
     def __init__(
         self,
@@ -42,15 +42,16 @@
         on_boxes: OnBoxes,
         rng: random.Random | None = None,
     ) -> None:
-        """Makes a feed; `start` begins.
+        """Initializes the feed without starting it.
 
         Args:
-            platform: The platform.
-            clock: Tells the time.
-            is_watcher: Tells whether this daemon follows the platform now.
-            on_objects: Takes configuration objects.
-            on_boxes: Takes listed boxes.
-            rng: Jitter.
+            platform: Client of the platform's store.
+            clock: Provides the time.
+            is_watcher: Returns whether this daemon currently reads the
+                platform continuously.
+            on_objects: Called with changed configuration objects.
+            on_boxes: Called with changed entries of the list of boxes.
+            rng: Source of jitter.
         """
         self._platform = platform
         self._timers = clock
@@ -66,29 +67,29 @@
 
     @property
     def answered_ago(self) -> float | None:
-        """Seconds since the platform last answered, or None for never."""
+        """Seconds since the last response of the platform, or None."""
         if self._answered is None:
             return None
         return self._timers.now() - self._answered
 
     @property
     def failures(self) -> int:
-        """Calls that failed since the start."""
+        """Number of failed calls."""
         return self._failures
 
     async def read_once(self) -> bool:
-        """Reads everything once; returns whether the platform answered."""
+        """Reads everything once and returns whether the platform answered."""
         try:
             await self._list()
             await self._poll_boxes()
         except errors.PlatformError as error:
             self._failures += 1
-            logger.warning("the platform did not answer: %s", error)
+            logger.warning("call to the platform failed: %s", error)
             return False
         return True
 
     def start(self) -> None:
-        """Begins to follow the platform."""
+        """Starts reading the platform continuously."""
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._follow(self._watch, 0.0)),
@@ -96,7 +97,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stops following."""
+        """Stops reading the platform."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -115,7 +116,7 @@
                 await asyncio.sleep(interval * (0.75 + self._rng.random() / 2))
             except errors.PlatformError as error:
                 self._failures += 1
-                logger.info("the platform did not answer: %s", error)
+                logger.info("call to the platform failed: %s", error)
                 await asyncio.sleep(pause * (0.5 + self._rng.random()))
                 pause = min(pause * 2.0, LONGEST_PAUSE)
 
@@ -133,10 +134,10 @@
             await self._list()
             return
         if changed.version < self._after:
-            # The platform went back, after a restore perhaps. What is in
-            # force stays; only what it writes from now on counts.
+            # The platform may have been restored from a backup. The
+            # configuration in force is kept; only later changes apply.
             logger.warning(
-                "the platform went back from version %d to %d",
+                "the platform's version decreased from %d to %d",
                 self._after,
                 changed.version,
             )
--- a/martenjunction/objects/model.py
+++ b/martenjunction/objects/model.py
@@ -1,4 +1,4 @@
-"""Objects that the platform keeps for us, and the list of boxes."""
+"""Objects in the platform's store, and entries of the list of boxes."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlatformObject:
-    """One object; `value` is None where it was deleted."""
+    """An object of the store; `value` is None if it was deleted."""
 
     key: str
     version: int
@@ -16,21 +16,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class ObjectList:
-    """Objects, and the platform's version when they were read."""
+    """Objects, and the platform's version at which they were read."""
 
     version: int
     objects: list[PlatformObject]
 
 
 class BoxRole(enum.StrEnum):
-    """What a listed box runs."""
+    """The type of process on a listed box."""
 
     DAEMON = "daemon"
     ENDPOINT = "endpoint"
 
 
 class BoxState(enum.StrEnum):
-    """What the list says of a box."""
+    """The state of a listed box."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -39,16 +39,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class ListedBox:
-    """One box of the lagging list.
+    """An entry of the platform's list of boxes, which may be outdated.
 
     Attributes:
-        name: The box, or the endpoint's name in the configuration.
-        role: What it runs.
-        state: What the list says of it.
-        zone: Its availability zone.
-        callers: A daemon's address for callers.
-        operators: A daemon's address for operators.
-        peers: A daemon's address for other daemons.
+        name: The box's name, or the endpoint's name in the configuration.
+        role: The type of process on the box.
+        state: The state of the box.
+        zone: The box's availability zone.
+        callers: The daemon's address for callers.
+        operators: The daemon's address for operators.
+        peers: The daemon's address for other daemons.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BoxList:
-    """Boxes that changed since a version, and the version now."""
+    """Boxes that changed after a version, and the current version."""
 
     version: int
     boxes: list[ListedBox]
