--- a/martenjunction/objects/client.py
+++ b/martenjunction/objects/client.py
@@ -45,8 +45,8 @@
             PlatformError: If the platform rejects or does not answer the call.
         """
         kind, name = split_key(key)
-        found = await self._store.get(kind, name)
-        return None if found is None else _object(key, found)
+        stored = await self._store.get(kind, name)
+        return None if stored is None else _object(key, stored)
 
     async def put(self, key: str, value: Any, version: int) -> int:
         """Writes an object if it has the expected version.
@@ -89,7 +89,10 @@
         listing = await self._store.list(kind)
         return model.ObjectList(
             listing.revision.number,
-            [_object(prefix + found.name, found) for found in listing.objects],
+            [
+                _object(prefix + stored.name, stored)
+                for stored in listing.objects
+            ],
         )
 
     async def watch(
@@ -113,12 +116,12 @@
         kind, _ = split_key(prefix)
         try:
             revision = revisions.Revision(self._store.era, after)
-            answer = await self._store.watch(kind, revision, wait)
+            response = await self._store.watch(kind, revision, wait)
         except errors.HistoryLostError:
             return None
-        newest = {change.object.name: change for change in answer.changes}
+        newest = {change.object.name: change for change in response.changes}
         return model.ObjectList(
-            answer.revision.number,
+            response.revision.number,
             [
                 model.PlatformObject(
                     prefix + name, change.object.revision.number
@@ -139,31 +142,31 @@
         listing = await self._store.list(LISTED_KIND)
         try:
             boxes = [
-                msgspec.json.decode(found.spec, type=model.ListedBox)
-                for found in listing.objects
-                if found.revision.number > after
+                msgspec.json.decode(stored.spec, type=model.ListedBox)
+                for stored in listing.objects
+                if stored.revision.number > after
             ]
         except msgspec.MsgspecError as error:
             raise errors.PlatformUnavailableError(
                 f"malformed list of boxes: {error}"
             ) from error
         newest = max(
-            (found.revision.number for found in listing.objects), default=0
+            (stored.revision.number for stored in listing.objects), default=0
         )
         return model.BoxList(newest, boxes)
 
 
 def split_key(key: str) -> tuple[str, str]:
     """Returns the kind and name of the object with a key."""
-    first, _, rest = key.partition("/")
-    return KIND_PREFIX + first, rest
+    first, _, name = key.partition("/")
+    return KIND_PREFIX + first, name
 
 
-def _object(key: str, found: store.StoredObject) -> model.PlatformObject:
+def _object(key: str, stored: store.StoredObject) -> model.PlatformObject:
     try:
-        value = msgspec.json.decode(found.spec)
+        value = msgspec.json.decode(stored.spec)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
             f"malformed value of {key}: {error}"
         ) from error
-    return model.PlatformObject(key, found.revision.number, value)
+    return model.PlatformObject(key, stored.revision.number, value)
--- a/martenjunction/objects/configuration.py
+++ b/martenjunction/objects/configuration.py
@@ -14,10 +14,10 @@
 MAX_HISTORY = 10
 
 # Maximum number of attempts of a write whose response is lost.
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 
 # Order of writes: sections that others refer to come first.
-ORDER = ("class", "service", "endpoint", "workspace", "binding", "policy")
+WRITE_ORDER = ("class", "service", "endpoint", "workspace", "binding", "policy")
 
 
 @dataclasses.dataclass(frozen=True)
@@ -116,7 +116,7 @@
         item = await self._platform.get(key)
         if item is None:
             return []
-        return [_to_change(item), *_former(item)]
+        return [_to_change(item), *_previous_versions(item)]
 
     async def apply(self, documents: list[fleet.Document]) -> list[Change]:
         """Writes the documents that differ from the current objects.
@@ -173,30 +173,30 @@
             PlatformError: If the platform does not answer, or if it is unknown
                 whether the object was written.
         """
-        held = await self._platform.get(key)
-        self._check(held, key, version, values)
-        value = envelope(values, self._operator, held)
+        existing = await self._platform.get(key)
+        self._check(existing, key, version, values)
+        value = envelope(values, self._operator, existing)
         change_id = value["change_id"]
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 written = await self._platform.put(key, value, version)
             except errors.PlatformUnavailableError:
-                found = await self._find(key, change_id)
+                found = await self._find_change(key, change_id)
                 if found is not None:
                     return found
             except errors.VersionConflictError:
-                found = await self._find(key, change_id)
+                found = await self._find_change(key, change_id)
                 if found is not None:
                     return found
-                held = await self._platform.get(key)
-                self._check(held, key, version, values)
+                existing = await self._platform.get(key)
+                self._check(existing, key, version, values)
             else:
                 return _to_change(model.PlatformObject(key, written, value))
         raise errors.PlatformUnavailableError(
             f"it is unknown whether {key} was written; run apply again"
         )
 
-    async def _find(self, key: str, change_id: str) -> Change | None:
+    async def _find_change(self, key: str, change_id: str) -> Change | None:
         for change in await self.history(key):
             if change.change_id == change_id:
                 return change
@@ -204,24 +204,24 @@
 
     def _check(
         self,
-        held: model.PlatformObject | None,
+        existing: model.PlatformObject | None,
         key: str,
         version: int,
         values: dict[str, str] | None,
     ) -> None:
-        current = held.version if held is not None else 0
+        current = existing.version if existing is not None else 0
         if current == version:
             return
         theirs = (
-            _to_change(held)
-            if held is not None
+            _to_change(existing)
+            if existing is not None
             else Change(key, 0, None, "", "", 0.0)
         )
         raise ConflictError(theirs, values)
 
 
 def _order_of(document: fleet.Document) -> tuple[int, str]:
-    return ORDER.index(document.kind), document.name
+    return WRITE_ORDER.index(document.kind), document.name
 
 
 def _to_change(item: model.PlatformObject) -> Change:
@@ -236,7 +236,7 @@
     )
 
 
-def _former(item: model.PlatformObject) -> list[Change]:
+def _previous_versions(item: model.PlatformObject) -> list[Change]:
     rows = item.value.get("history", []) if isinstance(item.value, dict) else []
     return [
         Change(
@@ -254,30 +254,30 @@
 def envelope(
     values: dict[str, str] | None,
     operator: str,
-    held: model.PlatformObject | None,
+    existing: model.PlatformObject | None,
 ) -> dict[str, Any]:
     """Returns the value to store for a change, including the history.
 
     Args:
         values: Settings of the object, or None to delete it.
         operator: Name of the operator who makes the change.
-        held: The current object, whose history is continued, or None.
+        existing: The current object, whose history is continued, or None.
     """
     return {
         "values": values,
         "change_id": uuid.uuid4().hex,
         "operator": operator,
         "at": time.time(),
-        "history": _history_with(held),
+        "history": _extended_history(existing),
     }
 
 
-def _history_with(
-    held: model.PlatformObject | None,
+def _extended_history(
+    existing: model.PlatformObject | None,
 ) -> list[dict[str, Any]]:
-    if held is None:
+    if existing is None:
         return []
-    changes = [_to_change(held), *_former(held)]
+    changes = [_to_change(existing), *_previous_versions(existing)]
     rows = [dataclasses.asdict(change) for change in changes[:MAX_HISTORY]]
     for row in rows:
         del row["key"]
--- a/martenjunction/objects/feed.py
+++ b/martenjunction/objects/feed.py
@@ -21,8 +21,8 @@
 
 logger = logging.getLogger(__name__)
 
-WATCH_WAIT = 20.0
-BOXES_INTERVAL = 1.0
+WATCH_WAIT_S = 20.0
+BOXES_INTERVAL_S = 1.0
 FIRST_PAUSE = 0.2
 LONGEST_PAUSE = 5.0
 
@@ -59,18 +59,18 @@
         self._on_objects = on_objects
         self._on_boxes = on_boxes
         self._rng = rng or random.Random()
-        self._after = 0
-        self._boxes_after = 0
-        self._answered: float | None = None
+        self._known_version = 0
+        self._known_boxes_version = 0
+        self._last_response_at: float | None = None
         self._failures = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def answered_ago(self) -> float | None:
         """Seconds since the last response of the platform, or None."""
-        if self._answered is None:
+        if self._last_response_at is None:
             return None
-        return self._timers.now() - self._answered
+        return self._timers.now() - self._last_response_at
 
     @property
     def failures(self) -> int:
@@ -92,8 +92,10 @@
         """Starts reading the platform continuously."""
         loop = asyncio.get_running_loop()
         self._tasks = [
-            loop.create_task(self._follow(self._watch, 0.0)),
-            loop.create_task(self._follow(self._poll_boxes, BOXES_INTERVAL)),
+            loop.create_task(self._run_repeatedly(self._watch, 0.0)),
+            loop.create_task(
+                self._run_repeatedly(self._poll_boxes, BOXES_INTERVAL_S)
+            ),
         ]
 
     async def stop(self) -> None:
@@ -102,60 +104,60 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _follow(
+    async def _run_repeatedly(
         self, step: Callable[[], Awaitable[None]], interval: float
     ) -> None:
-        pause = FIRST_PAUSE
+        backoff = FIRST_PAUSE
         while True:
             if not self._is_watcher():
-                await asyncio.sleep(BOXES_INTERVAL)
+                await asyncio.sleep(BOXES_INTERVAL_S)
                 continue
             try:
                 await step()
-                pause = FIRST_PAUSE
+                backoff = FIRST_PAUSE
                 await asyncio.sleep(interval * (0.75 + self._rng.random() / 2))
             except errors.PlatformError as error:
                 self._failures += 1
                 logger.info("call to the platform failed: %s", error)
-                await asyncio.sleep(pause * (0.5 + self._rng.random()))
-                pause = min(pause * 2.0, LONGEST_PAUSE)
+                await asyncio.sleep(backoff * (0.5 + self._rng.random()))
+                backoff = min(backoff * 2.0, LONGEST_PAUSE)
 
     async def _list(self) -> None:
         listed = await self._platform.list_objects(fleet.KEY_PREFIX)
-        self._take(listed)
+        self._apply(listed)
 
     async def _watch(self) -> None:
-        if self._after == 0:
+        if self._known_version == 0:
             await self._list()
         changed = await self._platform.watch(
-            fleet.KEY_PREFIX, self._after, WATCH_WAIT
+            fleet.KEY_PREFIX, self._known_version, WATCH_WAIT_S
         )
         if changed is None:
             await self._list()
             return
-        if changed.version < self._after:
+        if changed.version < self._known_version:
             # The platform may have been restored from a backup. The
             # configuration in force is kept; only later changes apply.
             logger.warning(
                 "the platform's version decreased from %d to %d",
-                self._after,
+                self._known_version,
                 changed.version,
             )
-        self._take(changed)
+        self._apply(changed)
 
     async def _poll_boxes(self) -> None:
-        listed = await self._platform.boxes(self._boxes_after)
-        self._answered = self._timers.now()
-        if listed.version < self._boxes_after:
-            self._boxes_after = 0
+        listed = await self._platform.boxes(self._known_boxes_version)
+        self._last_response_at = self._timers.now()
+        if listed.version < self._known_boxes_version:
+            self._known_boxes_version = 0
             return
-        self._boxes_after = listed.version
+        self._known_boxes_version = listed.version
         if listed.boxes:
             self._on_boxes(listed.boxes)
 
-    def _take(self, listed: model.ObjectList) -> None:
-        self._answered = self._timers.now()
-        self._after = listed.version
+    def _apply(self, listed: model.ObjectList) -> None:
+        self._last_response_at = self._timers.now()
+        self._known_version = listed.version
         objects = [
             store.ConfigObject(
                 item.key, item.version, configuration.values_of(item)
