--- a/tests/test_config_spread.py
+++ b/tests/test_config_spread.py
@@ -15,9 +15,9 @@
 def test_overloaded_boxes_get_a_change_without_the_store() -> None:
     # Guards against boxes that still accept revoked keys after 4 s, as did two
     # of 87 while boxes were short of processor time and the store rejected a
-    # third of them. A late box asked every peer every 0.3 s and after each
+    # third of them. A late box queried every peer every 0.3 s and after each
     # status with a newer version. Every answer had the whole document, and
-    # answers to all but the last 64 questions were discarded. In a simulation
+    # answers to all but the last 64 queries were discarded. In a simulation
     # where six of 30 boxes get a quarter of the processor time they need, the
     # median was 0.49 s, two of the six took 3.5 and 4.9 s, and one, rejected by
     # the store, never got the change.
--- a/tests/test_peer_flow.py
+++ b/tests/test_peer_flow.py
@@ -1,4 +1,4 @@
-"""Tests the outbox, flow control and questions to peers."""
+"""Tests the outbox, flow control and queries to peers."""
 
 import dataclasses
 import random
@@ -21,10 +21,10 @@
 
 def status(**changes: Any) -> peer_messages.BoxStatus:
     empty: tuple[Any, ...] = ()
-    made = peer_messages.BoxStatus(
+    initial = peer_messages.BoxStatus(
         True, 1, builders.rev(1), True, 0, 0, False, *(empty for _ in range(12))
     )
-    return dataclasses.replace(made, **changes)
+    return dataclasses.replace(initial, **changes)
 
 
 def with_loads(endpoint: str, engine: str, sent: int) -> Any:
@@ -60,10 +60,10 @@
 
 def stalled_control() -> flow.FlowControl:
     """Returns flow control whose peer acknowledges no frames."""
-    made = control()
+    stalled = control()
     for _ in range(flow.MAX_UNACKED):
-        made.begin_frame(True)
-    return made
+        stalled.begin_frame(True)
+    return stalled
 
 
 def test_urgent_messages_are_first_and_only_the_last_status_is_kept() -> None:
@@ -173,23 +173,23 @@
         queue.put(codec.Encoded(URGENT))
 
 
-# Questions to peers.
+# Queries to peers.
 
 
-def test_questions_in_flight_are_bounded_for_any_answer_time() -> None:
-    # Guards against a late box that asks all peers every 0.3 s but remembers
-    # only the last 64 questions, and so discards answers after some 0.5 s.
+def test_queries_in_flight_are_bounded_for_any_answer_time() -> None:
+    # Guards against a late box that queries all peers every 0.3 s but remembers
+    # only the last 64 queries, and so discards answers after some 0.5 s.
     for answer_s in (0.05, 0.5, 1.0, 3.0):
-        questions = peer_questions.PeerQuestions()
+        queries = peer_questions.PeerQuestions()
         in_flight: list[tuple[float, int]] = []
         asked = answered = 0
         for step in range(1000):
             now = step * 0.01
             for due, number in [q for q in in_flight if q[0] <= now]:
                 in_flight.remove((due, number))
-                answered += questions.answered(number) is not None
+                answered += queries.answered(number) is not None
             for peer in range(36):
-                number = questions.ask(f"box-{peer}", now)
+                number = queries.ask(f"box-{peer}", now)
                 if number is not None:
                     asked += 1
                     in_flight.append((now + answer_s, number))
@@ -202,10 +202,10 @@
         assert len(in_flight) <= most * (answer_s / wait_s + 1)
 
 
-def test_peer_has_at_most_one_question_in_flight() -> None:
-    questions = peer_questions.PeerQuestions()
-    assert questions.ask("box-1", 0.0) is not None
-    assert questions.ask("box-1", 0.1) is None
-    assert questions.unanswered_by(0.1) == {"box-1"}
-    questions.lost("box-1")
-    assert questions.ask("box-1", 0.2) is not None
+def test_peer_has_at_most_one_query_in_flight() -> None:
+    queries = peer_questions.PeerQuestions()
+    assert queries.ask("box-1", 0.0) is not None
+    assert queries.ask("box-1", 0.1) is None
+    assert queries.unanswered_by(0.1) == {"box-1"}
+    queries.lost("box-1")
+    assert queries.ask("box-1", 0.2) is not None
--- a/tests/test_platform_border.py
+++ b/tests/test_platform_border.py
@@ -148,8 +148,8 @@
     route = builders.config(
         routes=[builders.route("r", "/r/", priority=tier)]
     ).routes[0]
-    whose = model.Workspace("w", workspace)
-    assert admission._urgency(whose, route) == urgency
+    owner = model.Workspace("w", workspace)
+    assert admission._urgency(owner, route) == urgency
 
 
 # The store client.
