--- a/martenjunction/platform/store.py
+++ b/martenjunction/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store of objects; every call is counted."""
+"""Client of the platform's object store that counts its calls."""
 
 import asyncio
 import collections
@@ -14,22 +14,23 @@
 from martenjunction.http1 import client
 from martenjunction.http1 import messages
 
-# Seconds for a connection, for the head of an answer beyond a watch's own wait
-# and for each further part of it, and for all its parts. A document of 370 kB
-# takes 0.6 s over a link of 5 Mbit/s, and more beside other traffic.
+# Timeouts in seconds: to connect; for the head of a response, in addition to
+# the wait of a watch, and for each part of the body; and for the whole body. A
+# document of 370 kB takes 0.6 s over a link of 5 Mbit/s, and longer if there is
+# other traffic.
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 1.0
 BODY_TIMEOUT_S = 4.0
 
-# Connections that are kept for later calls.
-KEPT_CONNECTIONS = 3
+# Maximum number of idle connections that are kept for later calls.
+MAX_IDLE_CONNECTIONS = 3
 
-# Pages that one list may have.
+# Maximum number of pages of a list.
 MAX_PAGES = 200
 
 _JSON = (b"Content-Type", b"application/json")
 
-# Header of all answers; increases each time the store is restored from a copy.
+# Header of all responses; increases when the store is restored from a backup.
 _ERA_HEADER = b"store-era"
 MAX_ERA_DIGITS = 18
 
@@ -63,12 +64,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredObject:
-    """One object.
+    """An object of the store.
 
     Attributes:
-        name: Its name within its kind.
+        name: The name within its kind.
         revision: The revision of its last change.
-        spec: Its content as JSON.
+        spec: The content as JSON.
     """
 
     name: str
@@ -78,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """All objects of a kind, and the store's revision then."""
+    """All objects of a kind at a revision of the store."""
 
     objects: tuple[StoredObject, ...]
     revision: revisions.Revision
@@ -86,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One change of an object, or its end."""
+    """A change or deletion of an object."""
 
     object: StoredObject
     deleted: bool
@@ -94,20 +95,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """Changes since a revision, in order, and the revision after them."""
+    """Ordered changes since a revision, and the revision after them."""
 
     changes: tuple[Change, ...]
     revision: revisions.Revision
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
-    """One answer of the store.
+class _Response:
+    """A response of the store.
 
     Attributes:
         status: The HTTP status.
         body: The whole body.
-        era: The era of the store that the answer belongs to.
+        era: The era of the store that the response belongs to.
     """
 
     status: int
@@ -119,25 +120,25 @@
     """Reads, watches and writes objects of the store."""
 
     def __init__(self, address: str) -> None:
-        """Makes a client; it connects when it is first used.
+        """Initializes the client, which connects on first use.
 
         Args:
             address: IP address and port of the store.
         """
         self._address = address
-        self._kept: list[client.ClientConnection] = []
+        self._idle: list[client.ClientConnection] = []
         self._calls: collections.Counter[str] = collections.Counter()
         self._era = 0
         self._on_era_change: Callable[[int], None] = lambda era: None
 
     @property
     def era(self) -> int:
-        """The highest known era of the store; 0 if none is known."""
+        """The highest known era of the store, or 0 if none is known."""
         return self._era
 
     @property
     def calls(self) -> dict[str, int]:
-        """Calls made so far, by what they did."""
+        """Number of calls by operation."""
         return dict(self._calls)
 
     def on_era_change(self, callback: Callable[[int], None]) -> None:
@@ -145,7 +146,7 @@
         self._on_era_change = callback
 
     def update_era(self, era: int) -> None:
-        """Records the store's era, as reported by an answer or a peer."""
+        """Records the store's era, as reported by a response or a peer."""
         if era <= self._era:
             return
         is_change = self._era > 0
@@ -154,26 +155,26 @@
             self._on_era_change(era)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Returns an object as it stands now, or None.
+        """Returns the current version of an object, or None.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the store rejects or does not answer the call.
         """
-        answer = await self._call("get", "GET", _path(kind, name))
-        if answer.status == 404:
+        response = await self._call("get", "GET", _path(kind, name))
+        if response.status == 404:
             return None
-        return _object(_decode(answer, _Object), answer.era)
+        return _object(_decode(response, _Object), response.era)
 
     async def list(self, kind: str, may_be_old: bool = False) -> Listing:
-        """Returns all objects of a kind as they stand now.
+        """Returns the current version of all objects of a kind.
 
         Args:
             kind: The kind.
-            may_be_old: Whether the answer may be some seconds old; such a
-                call costs a tenth.
+            may_be_old: Whether the response may be some seconds old, which
+                reduces the cost of the call to a tenth.
 
         Raises:
-            PlatformError: If there is no answer.
+            PlatformError: If the store rejects or does not answer a call.
         """
         objects: list[StoredObject] = []
         after: str | None = None
@@ -183,19 +184,19 @@
             if may_be_old:
                 query["allow_stale"] = "1"
             path = _path(kind, query=query)
-            answer = await self._call("list", "GET", path)
-            page = _decode(answer, _Listing)
-            if era not in (None, answer.era):
+            response = await self._call("list", "GET", path)
+            page = _decode(response, _Listing)
+            if era not in (None, response.era):
                 raise errors.PlatformRefusedError(
-                    f"pages of {kind} are from eras {era} and {answer.era}"
+                    f"pages of {kind} are from eras {era} and {response.era}"
                 )
-            era = answer.era
+            era = response.era
             objects.extend(_object(entry, era) for entry in page.entries)
             if not page.has_more or not page.entries:
                 revision = revisions.Revision(era, page.current_rev)
                 return Listing(tuple(objects), revision)
-            # Pages go on after a name, although the field speaks of a
-            # revision.
+            # Despite the parameter's name, the next page starts after a name,
+            # not a revision.
             after = page.entries[-1].metadata.name
         raise errors.PlatformRefusedError(f"{kind} has too many pages")
 
@@ -210,42 +211,45 @@
             wait_s: Seconds to wait for the first change.
 
         Raises:
-            HistoryLostError: If the store dropped changes since `after`, or
-                was restored from a copy since then.
-            PlatformError: If there is no answer.
+            HistoryLostError: If the store has dropped changes since `after`,
+                or has been restored from a backup since then.
+            PlatformError: If the store rejects or does not answer the call.
         """
         wait_ms = str(round(wait_s * 1000))
         query = {"watch": str(after.number), "wait_ms": wait_ms}
-        answer = await self._call(
+        response = await self._call(
             "watch",
             "GET",
             _path(kind, query=query),
             timeout_s=wait_s + CALL_TIMEOUT_S,
         )
-        if answer.status == 410:
-            raise errors.HistoryLostError(f"changes after {after} are gone")
-        decoded = _decode(answer, _Events)
-        if answer.era != after.era:
-            # The store may have reused this number and passed it again, so that
-            # changes would be missed.
+        if response.status == 410:
             raise errors.HistoryLostError(
-                f"{after} is not from era {answer.era}"
+                f"the store has dropped changes after {after}"
+            )
+        decoded = _decode(response, _Events)
+        if response.era != after.era:
+            # The store may already have reused this number, so that changes
+            # would be missed.
+            raise errors.HistoryLostError(
+                f"revision {after} is not from era {response.era}"
             )
         return Changes(
             tuple(
-                Change(_object(event.object, answer.era), event.deleted)
+                Change(_object(event.object, response.era), event.deleted)
                 for event in decoded.events
             ),
-            revisions.Revision(answer.era, decoded.current_rev),
+            revisions.Revision(response.era, decoded.current_rev),
         )
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Makes an object.
+        """Creates an object.
 
         Raises:
-            VersionConflictError: If there is one of that name.
-            PlatformRefusedError: If nothing was done.
-            PlatformUnavailableError: If it may or may not have been made.
+            VersionConflictError: If an object of that name exists.
+            PlatformRefusedError: If the call had no effect.
+            PlatformUnavailableError: If it is unknown whether the object was
+                created.
         """
         document = {"metadata": {"name": name}, "spec": spec}
         return await self._write("create", "POST", _path(kind), name, document)
@@ -263,12 +267,13 @@
             kind: The kind.
             name: The object.
             spec: The new content.
-            revision: The revision that it must have; None for any.
+            revision: The expected revision, or None for any.
 
         Raises:
-            VersionConflictError: If it has another revision.
-            PlatformRefusedError: If nothing was done.
-            PlatformUnavailableError: If it may or may not have been done.
+            VersionConflictError: If the object has another revision.
+            PlatformRefusedError: If the call had no effect.
+            PlatformUnavailableError: If it is unknown whether the object was
+                replaced.
         """
         metadata: dict[str, Any] = {"name": name}
         if revision is not None:
@@ -281,36 +286,38 @@
     async def delete(
         self, kind: str, name: str, revision: revisions.Revision | None
     ) -> None:
-        """Removes an object; one that is not there is no error.
+        """Deletes an object, if it exists.
 
         Raises:
-            VersionConflictError: If it has another revision.
-            PlatformError: If it was not, or may not have been, removed.
+            VersionConflictError: If the object has another revision.
+            PlatformError: If the object was not, or may not have been, deleted.
         """
         query = {}
         if revision is not None:
             self._check_era(name, revision)
             query["revision"] = str(revision.number)
-        answer = await self._call("delete", "DELETE", _path(kind, name, query))
-        if answer.status == 409:
-            raise errors.VersionConflictError(name, _revision_in(answer.body))
-        if answer.status not in (200, 204, 404):
-            _decode(answer, _Object)
+        response = await self._call(
+            "delete", "DELETE", _path(kind, name, query)
+        )
+        if response.status == 409:
+            raise errors.VersionConflictError(name, _revision_in(response.body))
+        if response.status not in (200, 204, 404):
+            _decode(response, _Object)
 
     def close(self) -> None:
-        """Ends all kept connections."""
-        for connection in self._kept:
+        """Closes all idle connections."""
+        for connection in self._idle:
             connection.abort()
-        self._kept.clear()
+        self._idle.clear()
 
     async def _write(
-        self, what: str, method: str, path: str, name: str, document: Any
+        self, operation: str, method: str, path: str, name: str, document: Any
     ) -> StoredObject:
         body = msgspec.json.encode(document)
-        answer = await self._call(what, method, path, body)
-        if answer.status == 409:
-            raise errors.VersionConflictError(name, _revision_in(answer.body))
-        return _object(_decode(answer, _Object), answer.era)
+        response = await self._call(operation, method, path, body)
+        if response.status == 409:
+            raise errors.VersionConflictError(name, _revision_in(response.body))
+        return _object(_decode(response, _Object), response.era)
 
     def _check_era(self, name: str, revision: revisions.Revision) -> None:
         """Rejects a condition on a revision of an earlier era.
@@ -325,14 +332,14 @@
 
     async def _call(
         self,
-        what: str,
+        operation: str,
         method: str,
         path: str,
         body: bytes = b"",
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> _Answer:
-        """Makes one call; a connection without an answer is not used again."""
-        self._calls[what] += 1
+    ) -> _Response:
+        """Makes a call and closes the connection if no response is received."""
+        self._calls[operation] += 1
         connection = await self._connect()
         headers = [(b"Host", self._address.encode())]
         if body:
@@ -346,7 +353,7 @@
         except (errors.TransportError, TimeoutError) as error:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"no answer to {what}: {error or 'time-out'}"
+                f"no response to {operation}: {error or 'time-out'}"
             ) from error
         except asyncio.CancelledError:
             connection.abort()
@@ -357,16 +364,16 @@
         if era < self.era:
             connection.abort()
             raise errors.PlatformUnavailableError(
-                f"answer to {what} is from era {era}, before {self.era}"
+                f"response to {operation} is from era {era}, before {self.era}"
             )
         if connection.finish():
-            self._keep(connection)
+            self._release(connection)
         self.update_era(era)
-        return _Answer(head.status, content, era)
+        return _Response(head.status, content, era)
 
     async def _connect(self) -> client.ClientConnection:
-        while self._kept:
-            connection = self._kept.pop()
+        while self._idle:
+            connection = self._idle.pop()
             if connection.is_quiet():
                 return connection
             connection.abort()
@@ -377,9 +384,9 @@
             raise errors.PlatformUnavailableError(str(error)) from error
         return connection
 
-    def _keep(self, connection: client.ClientConnection) -> None:
-        if len(self._kept) < KEPT_CONNECTIONS:
-            self._kept.append(connection)
+    def _release(self, connection: client.ClientConnection) -> None:
+        if len(self._idle) < MAX_IDLE_CONNECTIONS:
+            self._idle.append(connection)
         else:
             connection.abort()
 
@@ -404,7 +411,7 @@
 
 
 def _era_in(head: messages.ResponseHead) -> int | None:
-    """Returns the era in the head of an answer, or None."""
+    """Returns the era in the head of a response, or None."""
     value = messages.header(head.headers, _ERA_HEADER)
     if value is None or len(value) > MAX_ERA_DIGITS or not value.isdigit():
         return None
@@ -416,21 +423,21 @@
     return StoredObject(wire.metadata.name, revision, bytes(wire.spec))
 
 
-def _decode(answer: _Answer, wanted: Any) -> Any:
-    if answer.status in (429, 503):
-        raise errors.PlatformRefusedError(f"status {answer.status}")
-    if answer.status not in (200, 201):
-        raise errors.PlatformUnavailableError(f"status {answer.status}")
+def _decode(response: _Response, expected_type: Any) -> Any:
+    if response.status in (429, 503):
+        raise errors.PlatformRefusedError(f"status {response.status}")
+    if response.status not in (200, 201):
+        raise errors.PlatformUnavailableError(f"status {response.status}")
     try:
-        return msgspec.json.decode(answer.body, type=wanted)
+        return msgspec.json.decode(response.body, type=expected_type)
     except msgspec.MsgspecError as error:
         raise errors.PlatformUnavailableError(
-            f"the answer cannot be read: {error}"
+            f"malformed response: {error}"
         ) from error
 
 
 def _revision_in(body: bytes) -> int:
-    """Returns the revision in a refusal of a conditional write, or 0."""
+    """Returns the revision in a rejected conditional write, or 0."""
     try:
         return msgspec.json.decode(body, type=_Object).metadata.revision
     except msgspec.MsgspecError:
