--- a/tests/gateway_requests.py
+++ b/tests/gateway_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a box before stand-ins, for tests of the whole path."""
+"""Sends requests to a box with fake replicas, for end-to-end tests."""
 
 import asyncio
 from collections.abc import Callable
@@ -56,15 +56,16 @@
     box: gateway.Gateway,
     act: Callable[[str], object],
 ) -> list[str]:
-    """Has something happen as a request waits for its first connection.
+    """Calls a function when the first connection to an endpoint is acquired.
 
     Args:
-        monkeypatch: Undoes it.
+        monkeypatch: Restores the connection pool.
         box: The box.
-        act: Given the id of the endpoint that the connection is for.
+        act: Called with the id of the endpoint.
 
     Returns:
-        The ids of the endpoints that connections were asked for, as it grows.
+        The ids of the endpoints for which connections were acquired; the list
+        grows with each connection.
     """
     asked: list[str] = []
     acquire = box.pool.acquire
@@ -87,14 +88,15 @@
     monkeypatch: pytest.MonkeyPatch,
     act: Callable[[gateway.Gateway, str], object],
 ) -> None:
-    """Has an endpoint say something while a request waits for a connection.
+    """Checks that an endpoint that changes during connection setup is skipped.
 
-    The request is served, and that endpoint gets nothing.
+    The request must be served by the other endpoint.
 
     Args:
         fleet: A box without endpoints.
-        monkeypatch: Undoes it.
-        act: Given the box and the id of the endpoint that was chosen first.
+        monkeypatch: Restores the connection pool.
+        act: Changes the first selected endpoint; called with the box and the
+            endpoint id.
     """
     made = await two_plain(fleet)
     box = fleet.gateways[0]
@@ -106,7 +108,7 @@
 
 
 def behave(made: list[replica.Replica], behaviour: Behaviour) -> None:
-    """Has whichever replica is asked first behave so, once."""
+    """Sets the behaviour of the first response of each replica."""
     for stand_in in made:
         stand_in.plan(behaviour)
 
--- a/tests/routing_builders.py
+++ b/tests/routing_builders.py
@@ -1,4 +1,4 @@
-"""Builders of routing data for tests."""
+"""Builders of routing test data."""
 
 import json
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def rev(number: int, era: int = 1) -> revisions.Revision:
-    """Returns a revision of the store, by default of the first era."""
+    """Returns a store revision, by default of the first era."""
     return revisions.Revision(era, number)
 
 
@@ -92,9 +92,9 @@
 
 
 def patient_config_document() -> dict[str, Any]:
-    """Returns a configuration whose targets a busy machine meets as well.
+    """Returns a configuration with latency targets for a loaded machine.
 
-    With the usual ones, requests are shed for the machine's own slowness.
+    With the default targets, requests are shed because the machine is slow.
     """
     document = config_document()
     for made in document["routes"]:
@@ -113,7 +113,7 @@
     state: model.EndpointState = model.EndpointState.READY,
     service: str = PLAIN,
 ) -> model.Endpoint:
-    """Returns an endpoint of the list."""
+    """Returns an endpoint as listed by the platform."""
     return model.Endpoint(
         endpoint_id, service, "10.0.0.1:80", "zone-a", 6, state
     )
@@ -122,14 +122,14 @@
 def record(
     endpoint_id: str = "e1", cache_tokens: int = 280_000, slots: int = 64
 ) -> endpoint_records.EndpointRecord:
-    """Returns the record of an engine that was just listed."""
+    """Returns the record of a newly listed engine."""
     return endpoint_records.EndpointRecord(
         endpoint_id, "zone-a", slots, cache_tokens
     )
 
 
-# Figures learnt of an engine that reads 50,000 tokens a second and whose
-# streams get a token each 43.1 ms meanwhile.
+# Learned figures of an engine with a prefill rate of 50,000 tokens per second,
+# whose streams get a token every 43.1 ms during prefill.
 FIGURES = engine_figures.EngineFigures(50_000.0, 0.0431)
 
 
@@ -155,7 +155,7 @@
 
 
 def settings_text(settings: box_settings.BoxSettings) -> str:
-    """Returns a settings file as the platform writes it."""
+    """Returns the settings file that the platform would write."""
     return f"""
 node = "{settings.box}"
 zone = "{settings.zone}"
--- a/tests/test_endpoint_failures.py
+++ b/tests/test_endpoint_failures.py
@@ -1,14 +1,8 @@
-"""Failures of endpoints that their clients have to be told.
+"""Tests that error responses of endpoints reach the client.
 
-Symptom: a request that an endpoint answered with a status from 300 to 499 was
-passed on, run, and its client's connection closed without an answer.
-
-Sequence: the endpoint answers 404. The exchange keeps the answer for the case
-that no other endpoint has a better one, and says that no other is to be asked.
-Nobody sends it; the handler returns; the connection, with no answer begun on
-it, is taken for one whose last answer was sent.
-
-Cause: an answer that ends the attempts was kept and not sent.
+Guards against closing the client connection without a response when an endpoint
+answers with a status from 300 to 499: such a response ends the attempts, but it
+was only stored as a fallback and never sent.
 """
 
 import asyncio
@@ -23,7 +17,7 @@
 
 
 class Endpoint:
-    """Answers every request with one status, its id and a seal."""
+    """Answers every request with a fixed status, its id and a seal."""
 
     def __init__(self, status: int) -> None:
         self._status = status
--- a/tests/test_endpoint_refusals.py
+++ b/tests/test_endpoint_refusals.py
@@ -1,4 +1,4 @@
-"""What a box makes of an endpoint's refusals, and of the rest it asks for."""
+"""Tests the handling of refusals and of requested back-offs."""
 
 import random
 
@@ -62,14 +62,14 @@
 def test_answer_to_an_earlier_request_does_not_end_its_return(
     heard_at: float,
 ) -> None:
-    # Streams that ran there before go on, in its rest and after it.
+    # Streams that started earlier continue during and after the back-off.
     made = resting()
     made.answer(sent_at=NOW - 1.0)
     assert not made.accepts(1, max(heard_at, NOW + 3.0))
 
 
 def test_endpoint_that_was_not_asked_for_long_after_its_rest_is_open() -> None:
-    # The requests that it may have on its return double with time.
+    # The number of requests allowed after a back-off doubles over time.
     made = resting()
     for later_s in (3.0, 300.0, 1e6):
         assert made.accepts(0, NOW + later_s)
@@ -88,7 +88,7 @@
 def test_pause_grows_with_each_refusal_and_ends_with_an_answer() -> None:
     made = endpoint_refusals.Refusals()
     made.refuse(NOW)
-    # One that was sent before the pause says nothing new.
+    # Refusals of requests sent before the pause are ignored.
     made.refuse(NOW)
     assert made.pauses(NOW + 0.09) and not made.pauses(NOW + 0.11)
     now = NOW
@@ -97,7 +97,7 @@
         made.refuse(now)
     assert made.pauses(now + 0.9 * endpoint_refusals.LONGEST_PAUSE_S)
     assert not made.pauses(now + endpoint_refusals.LONGEST_PAUSE_S)
-    # It is a preference only.
+    # A pause only lowers the preference for the endpoint.
     assert made.accepts(9, now)
     made.answer(sent_at=now)
     made.refuse(now + 9.0)
@@ -158,11 +158,11 @@
     assert choose([rests, builders.record("e2")]) == "e2"
 
 
-# The whole path.
+# End-to-end tests.
 
 
 class Resting(replica.Replica):
-    """A replica that asks for rest as it refuses."""
+    """A replica that requests a back-off with each refusal."""
 
     rest = "30"
 
@@ -195,7 +195,7 @@
     shown = fleet.gateways[0].dump()["records"][made.id]["rests_s"]
     assert 0.0 < shown <= 30.0 + endpoint_refusals.MOST_SPREAD_S
     assert b"endpoints_resting 1.0" in fleet.gateways[0]._metrics_text()
-    # Within what it asked for and the spread of those that come back.
+    # At most the requested back-off plus the jitter.
     most_s = 30.0 + endpoint_refusals.MOST_SPREAD_S
     assert 0.0 < told_s <= most_s + endpoint_refusals.RETURN_STEP_S
 
@@ -247,7 +247,7 @@
 async def test_endpoint_that_refuses_at_once_does_not_look_idle(
     fleet: boxes.Boxes,
 ) -> None:
-    # Without a time of rest, too, it is asked again more and more seldom.
+    # Even without a requested back-off, it is tried less and less often.
     made = await requests.two_plain(fleet)
     made[0].always(Behaviour.REFUSE)
     made[1].queue_s = 0.05
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Answers of a box: what reaches replicas, and what clients are told."""
+"""Tests how a box forwards requests to replicas and answers clients."""
 
 import asyncio
 import contextlib
@@ -88,7 +88,7 @@
     assert builders.KEY not in str(dump)
 
 
-# At most once, and the truth of statuses.
+# At-most-once execution and truthful statuses.
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.REFUSE, Behaviour.MISDIRECTED])
@@ -99,7 +99,7 @@
     made[0].always(behaviour)
     made[1].plan(behaviour)
     head, _ = await requests.ask(fleet, "/unsafe/")
-    # The second replica refuses as well: nothing ran anywhere.
+    # Both replicas refuse, so the request did not run.
     assert head.status == 503
     assert head.get(b"retry-after") is not None
     assert requests.runs(made) == 0
--- a/tests/test_gateway_beliefs.py
+++ b/tests/test_gateway_beliefs.py
@@ -1,4 +1,4 @@
-"""What a box believes: leaving replicas, the store, keys, other boxes."""
+"""Tests a box's view of leaving replicas, the store, keys and peers."""
 
 import asyncio
 
@@ -104,7 +104,7 @@
     made = await requests.two_plain(fleet)
     box = fleet.gateways[0]
     await made[0].stop()
-    # Sent together, they spread over both replicas.
+    # Concurrent requests are spread over both replicas.
     answers = await asyncio.gather(
         *(requests.ask(fleet, "/unsafe/", f"r{number}") for number in range(12))
     )
@@ -129,7 +129,7 @@
     await stopping
 
 
-# Boxes among themselves.
+# Several boxes.
 
 
 async def test_clients_are_told_the_boxes_that_are_ready() -> None:
@@ -150,7 +150,7 @@
         stopping = asyncio.create_task(leaving.leave())
         while leaving.members.own.callers in await addresses():
             await asyncio.sleep(0.05)
-    # The box still serves clients that kept an older answer.
+    # The box still serves clients that cached an older response.
     head, _ = await boxes.call(leaving.members.own.callers, "GET", "/none/", {})
     ready, _ = await boxes.call(leaving._settings.ready, "GET", "/readyz")
     assert head.status == 404
@@ -165,8 +165,8 @@
     await made.start(builders.config_document(), boxes=2)
     await made.add_replica(builders.PLAIN)
     await made.until_listed()
-    # The box that reads for both is the one that is cut off: the other one
-    # has to read in its place.
+    # Partitions the box that reads from the store for both boxes, so that the
+    # other one has to take over reading.
     await boxes.until(
         lambda: sum(box.follower.answered for box in made.gateways) == 1
     )
--- a/tests/test_gateway_engines.py
+++ b/tests/test_gateway_engines.py
@@ -1,4 +1,4 @@
-"""What boxes learn of engines and of each other, over the whole path."""
+"""End-to-end tests of learned engine figures and of box listings."""
 
 import asyncio
 import contextlib
@@ -66,9 +66,9 @@
 async def test_run_is_copied_only_where_moving_its_memory_is_cheap(
     fleet: boxes.Boxes, dear: bool
 ) -> None:
-    # Symptom: copies of runs cost 0.011 of a calm day on which no engine was
-    # lost, and 0.014 of days with losses, more than they brought back. Cause:
-    # whether a run is copied did not depend on how much memory it takes.
+    # Guards against copying runs regardless of their memory size: the copies
+    # cost 0.011 of a day without engine failures and 0.014 of days with
+    # failures, more than they saved.
     config = builders.config_document(9)
     engine = config["services"][1]["engine"]
     engine["backups"] = True
@@ -86,8 +86,8 @@
 async def test_stream_that_broke_off_is_logged_as_failed(
     fleet: boxes.Boxes,
 ) -> None:
-    # Symptom: streams cut in the middle of their answer stood in the log among
-    # the served ones. Cause: the status alone decided, and it was sent before.
+    # Guards against logging streams that broke off as served: the status is
+    # sent before the stream breaks, so it alone does not show the outcome.
     lines: list[str] = []
     log = fleet.gateways[0].log
     write = log.write
@@ -108,8 +108,8 @@
 
 
 async def test_box_bears_lists_of_boxes_that_are_old() -> None:
-    # All boxes start at once, so a list that may be old lacks most of them and
-    # the box's own entry, which is not to be written again for that.
+    # When all boxes start at once, a stale listing lacks most of them and the
+    # box's own entry, which must not be rewritten because of that.
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=1)
     store = made.store
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a box: pieces, resumption and copies."""
+"""Tests streams through a box: forwarding, resumption and copies."""
 
 import asyncio
 import contextlib
@@ -34,7 +34,8 @@
     made = await requests.engines(fleet)
     box = fleet.gateways[0]
     service = box.admitter.config.services[builders.ENGINE]  # type: ignore[union-attr]
-    # Other boxes have more there than could be read before the target.
+    # Other boxes have more prompt tokens there than can be processed before the
+    # latency target.
     chat = builders.demand(urgency=1).load_key
     digest = builders.demand(urgency=3).load_key
 
@@ -90,12 +91,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class CopiedRun:
-    """A run under way that will break off.
+    """A run in progress that will break off.
 
     Attributes:
         first: The engine that runs it.
-        second: The engine that keeps its copy.
-        task: Asks for it, and returns the answer's head and body.
+        second: The engine that holds the copy of its memory.
+        task: Sends the request and returns the response head and body.
     """
 
     first: replica.Replica
--- a/tests/test_limit_gate.py
+++ b/tests/test_limit_gate.py
@@ -1,4 +1,4 @@
-"""Whatever is sent to an endpoint that names a limit needs a grant."""
+"""Tests that requests to endpoints with a rate limit need a grant."""
 
 import asyncio
 import contextlib
@@ -126,7 +126,7 @@
     )
     await requests.ask(fleet, "/safe/")
     await asyncio.sleep(0.2)
-    # It begins to leave while the request asks for a grant.
+    # The endpoint begins to leave while the grant is pending.
     take = box.grants.take
 
     async def taking(endpoint_id: str) -> object:
--- a/tests/test_own_hold_ups.py
+++ b/tests/test_own_hold_ups.py
@@ -1,4 +1,4 @@
-"""A hold-up of this process is not the silence of another one."""
+"""Tests that a stall of this process is not taken for a silent peer."""
 
 import asyncio
 import random
@@ -22,10 +22,10 @@
 from tests import raw_peers
 from tests import routing_builders as builders
 
-# Era 0, as the answers in these tests have no era header.
+# Era 0, because the responses in these tests have no era header.
 REVISION = builders.rev(3, era=0)
 
-# Calls to the store, and health checks.
+# Store calls and health checks.
 
 OBJECT = (
     b'{"metadata": {"name": "main", "revision": 3}, "spec": {"version": 7}}'
@@ -35,9 +35,9 @@
 async def test_answer_of_the_store_that_waits_at_the_time_out_counts(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Symptom: after a hold-up of a second the store counted as lost and its
-    # watches were begun anew. Sequence: the answer arrives while the loop is
-    # held up, the time-out is due. Cause: the time-out cancelled the read.
+    # Guards against treating the store as lost and restarting its watches
+    # after a stall of a second: the response arrives while the event loop is
+    # blocked, and the timeout, then due, cancelled the read.
     monkeypatch.setattr(store, "CALL_TIMEOUT_S", raw_peers.HOLD_UP_S / 2)
     calls = store.StoreClient(peer.address)
     asking = asyncio.create_task(calls.watch("config", REVISION, 0.0))
@@ -65,9 +65,9 @@
 async def test_answer_of_the_store_that_still_comes_is_waited_for(
     peer: raw_peers.RawPeer,
 ) -> None:
-    # A document of 370 kB takes 0.6 s over a thin link, and longer beside other
-    # traffic: calls were given up after a second, and made again over the link
-    # that was full.
+    # Guards against timing out while data still arrives: a document of 370 kB
+    # takes 0.6 s over a slow link, and longer beside other traffic. Calls were
+    # aborted after a second and retried over the saturated link.
     calls = store.StoreClient(peer.address)
     asking = asyncio.create_task(calls.get("config", "main"))
     other_side = await peer.accept()
@@ -96,7 +96,7 @@
     other_side.send(raw_peers.answer(OBJECT))
     assert await asking is not None
     other_side.close()
-    # Served in the same turn: the loop has not seen the end yet.
+    # Sent in the same loop iteration, before the close is detected.
     call = calls.get("config", "main")
     asking = asyncio.create_task(call)
     other_side = await peer.accept()
@@ -109,8 +109,8 @@
 async def test_lack_of_descriptors_is_a_failed_call_to_the_store(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Symptom: a box never read from the store again. Cause: the error of the
-    # socket call ended the task that reads, which expects the store's only.
+    # Guards against a box that never reads from the store again: the OSError
+    # ended the reading task, which handles store errors only.
     calls = store.StoreClient(peer.address)
     monkeypatch.setattr(client.socket, "socket", raw_peers.no_descriptors)
     with pytest.raises(errors.PlatformUnavailableError):
@@ -140,13 +140,13 @@
     connections.close()
 
 
-# The silence of endpoints and of other boxes.
+# Silence of endpoints and of other boxes.
 
 LOOK_S = 0.1
 
 
 def book_with_runs(count: int) -> endpoint_book.EndpointBook:
-    """Returns a book whose only endpoint runs some requests since 0.0."""
+    """Returns a registry whose one endpoint has runs started at 0.0."""
     listed = endpoint_list.EndpointList()
     listed.take_listing(
         [(builders.endpoint(), builders.rev(1))], builders.rev(5), now=0.0
@@ -164,7 +164,7 @@
 
 
 def look(book: endpoint_book.EndpointBook, begin: float, end: float) -> str:
-    """Looks at regular intervals; returns the endpoint's state."""
+    """Ticks at regular intervals; returns the endpoint's state."""
     now = begin
     while now < end:
         book.tick(now)
@@ -173,10 +173,9 @@
 
 
 def test_hold_up_of_this_box_is_no_silence_of_its_endpoints() -> None:
-    # Symptom: after a hold-up all endpoints with runs were ejected as silent
-    # and their requests moved. Sequence: the look for silent endpoints comes
-    # before their bytes are read. Cause: the time in which this box read
-    # nothing counted as their silence.
+    # Guards against ejecting all endpoints with runs as silent, and moving
+    # their requests, after a stall of this box: the check for silence runs
+    # before the received bytes are read, and the stall counted as silence.
     book = book_with_runs(2)
     look(book, 0.0, 0.2)
     book.tick(5.0)
@@ -206,9 +205,9 @@
 
 
 async def test_boxes_stay_connected_and_known_over_a_hold_up() -> None:
-    # Symptom: after a hold-up of 1.5 s a box closed all its links, and told
-    # clients of no box but itself. Sequence: heartbeats are due, and a client
-    # asks, before what the peers sent is read. Cause: as above.
+    # Guards against a box that, after a stall of 1.5 s, closes all peer links
+    # and lists only itself to clients: heartbeats are due, and a client asks,
+    # before the bytes from the peers are read.
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=2)
     await made.until_listed()
@@ -229,8 +228,8 @@
 
 
 async def test_hold_up_of_a_reader_does_not_make_the_others_dead() -> None:
-    # Symptom: a box that stood still for 12 s removed the entries of all
-    # others from the store when it went on.
+    # Guards against a box that removes the store entries of all others after
+    # it was stalled for 12 s.
     clock = timers.Timers()
     own = membership.Member("own", "zone", "", "", "", 1)
     members = membership.Membership(own, clock, lambda: None)
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -1,18 +1,15 @@
-"""What clients with open connections see of a planned stop, to its end.
+"""Tests planned stops as seen by clients with open connections.
 
-Symptom: a request that was read near the end of a planned stop was passed on
-and its connection closed without an answer; and a request that still ran at the
-stop's limit was cut off without a word.
+Guards against closing a connection without a response:
 
-Sequence: the event loop is held up while the stop's last wait ends and a
-request comes in. The stop found nothing under way and closed every connection;
-the reader, already woken, handed the request on. At the limit the requests that
-ran were cancelled and all connections closed before one of them had its turn.
+- A request is read near the end of the stop. The event loop is blocked while
+  the last wait of the stop ends and the request arrives. The stop counted only
+  requests in progress, not those being read, and closed all connections; the
+  reader, already woken, still forwarded the request.
+- A request is still running at the time limit of the stop. Requests were
+  cancelled and all connections closed before their tasks could respond.
 
-Cause: the stop asked for the requests that were under way, which a request that
-is being read is not yet, and closed connections without asking them.
-
-What settled it, from a stop beside a hold-up of 250 ms:
+Log of such a stop, with the event loop blocked for 250 ms:
 
     stop-begins          held=0
     connection-closed    why=stop answered=3 under_way=false bytes_waiting=true
@@ -37,11 +34,11 @@
 COUNT = 12
 LINGER_S = 1.0
 
-# A limit of a stop, in seconds, that no test gets to.
+# Time limit of a stop, in seconds, that no test reaches.
 FAR_LIMIT_S = 600.0
 
-# Turns of the event loop, and seconds of each on a machine that holds nothing
-# up, within which a stop ends by itself: half of a box's limit of 8 s.
+# Number of waits, and the length of each in seconds on an idle machine, within
+# which a stop must end by itself: half of a box's time limit of 8 s.
 TURNS = 40
 TURN_S = 0.1
 
@@ -57,10 +54,10 @@
 
 
 async def stops_by_itself(box: gateway.Gateway) -> bool:
-    """Stops a box as planned; returns whether its connections end in time.
+    """Runs a planned stop; returns whether the connections end in time.
 
-    Time is counted in turns of the event loop: a clock goes on while the
-    machine holds the loop up, and what ends the connections does not.
+    Time is counted in event loop waits instead of clock time, because the
+    clock advances while the machine stalls the event loop.
     """
     box.reload(dataclasses.replace(box._settings, stop_s=FAR_LIMIT_S))
     stopping = asyncio.create_task(box.leave())
@@ -115,7 +112,7 @@
     await fleet.gateways[0].leave()
     answers = [await connection.answer() for connection in kept]
     statuses = {answer[9:12] for answer in answers}
-    # It may have run: nothing that promises the contrary.
+    # The request may have run, so the status must not claim otherwise.
     assert statuses <= {b"502", b"504"}
     for connection in kept:
         connection.close()
--- a/tests/test_ready_and_closed.py
+++ b/tests/test_ready_and_closed.py
@@ -1,7 +1,7 @@
-"""Requests that are given up while their answer is about to be read.
+"""Tests aborted requests whose response is about to be read.
 
-After a hold-up of the event loop a time-out and the bytes that it waits for
-meet in one pass: the state of the socket decides, not what was known before.
+After a stall of the event loop, a timeout and the awaited bytes may be handled
+in the same iteration. The state of the socket must decide, not older state.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class FakeConnection:
-    """A client's connection as an exchange sees it."""
+    """A fake of the client connection used by an exchange."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -63,7 +63,7 @@
 async def list_peer(
     fleet: boxes.Boxes, peer: raw_peers.RawPeer, service: str
 ) -> None:
-    """Lists the peer as the only endpoint of a service."""
+    """Registers the peer as the only endpoint of a service."""
     listed = replica.Replica("i-raw")
     listed.address = peer.address
     fleet.replicas.append(listed)
@@ -94,9 +94,9 @@
     service: str,
     body: bytes,
 ) -> None:
-    # Symptom: 504 for a request whose whole answer was at the box in time.
-    # Sequence: the answer arrives while the loop is held up, the deadline
-    # passes. Cause: the timer cancelled the task that the answer had woken.
+    # Guards against a 504 although the complete response reached the box in
+    # time: it arrives while the event loop is blocked, the deadline passes,
+    # and the timer cancelled the task that the response had woken.
     await list_peer(fleet, peer, service)
     asked = asyncio.create_task(
         requests.ask(fleet, path, **{"Martenjunction-Deadline-Ms": "300"})
@@ -141,9 +141,9 @@
 async def test_request_whose_answer_waits_is_not_moved(
     fleet: boxes.Boxes, peer: raw_peers.RawPeer
 ) -> None:
-    # Symptom: a request ran twice although its first answer was at the box.
-    # Sequence: the endpoint is called silent in the pass in which its answer
-    # arrives. Cause: the move closed the connection without a look at it.
+    # Guards against running a request twice although its first response had
+    # arrived: the endpoint is declared silent in the loop iteration in which
+    # the response arrives, and the move closed the connection unread.
     await list_peer(fleet, peer, builders.PLAIN)
     asked = asyncio.create_task(requests.ask(fleet, "/safe/"))
     run = await peer.accept()
@@ -179,9 +179,9 @@
 async def test_request_of_a_client_that_left_is_not_sent(
     fleet: boxes.Boxes,
 ) -> None:
-    # Symptom: requests reached endpoints and were given up at once. Sequence:
-    # the client's end is read in the pass in which the request is served.
-    # Cause: the end is told one turn after the request was sent.
+    # Guards against sending requests that are aborted at once: the client's
+    # close is read in the loop iteration that serves the request, and its
+    # callback runs one iteration after the request was sent.
     made = await requests.two_plain(fleet)
     connection = FakeConnection()
     connection.closed = True
@@ -211,16 +211,16 @@
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Symptom: a client's connection ended without an answer while its request
-    # ran. Cause: an error that no part expected went past all answers.
+    # Guards against closing a client connection without a response while the
+    # request runs, because an unexpected error bypassed all responses.
     made = await requests.two_plain(fleet)
 
     def fail(*_: object) -> NoReturn:
-        raise RuntimeError("a slip of the book")
+        raise RuntimeError("registry failure")
 
     monkeypatch.setattr(fleet.gateways[0].book, "heard", fail)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
     assert requests.runs(made) == 1
     assert "RuntimeError" in caplog.text
-    assert "a slip of the book" in caplog.text
+    assert "registry failure" in caplog.text
--- a/tests/test_request_content.py
+++ b/tests/test_request_content.py
@@ -1,4 +1,4 @@
-"""What tells a request that is sent again from another one."""
+"""Tests the content keys that identify resent requests."""
 
 import dataclasses
 
