--- a/martenjunction/routing/prober.py
+++ b/martenjunction/routing/prober.py
@@ -73,14 +73,14 @@
             # A health check counts towards the rate limit like any request.
             if await self._gate.take(endpoint.id) is None:
                 return
-            healthy = await self._is_healthy(endpoint, path)
+            healthy = await self._ask(endpoint, path)
             self._book.note_probe_result(
                 endpoint.id, healthy, self._timers.now()
             )
         finally:
             self._probes.pop(endpoint.id, None)
 
-    async def _is_healthy(self, endpoint: model.Endpoint, path: str) -> bool:
+    async def _ask(self, endpoint: model.Endpoint, path: str) -> bool:
         """Returns whether the endpoint reports itself healthy."""
         try:
             connection = await self._connections.acquire(endpoint, False)
--- a/tests/test_limit_gate.py
+++ b/tests/test_limit_gate.py
@@ -162,9 +162,7 @@
     limited_replicas.say(fleet, made, 2.0)
     made.limit = None
     made.always(Behaviour.REFUSE)
-    await box.prober._is_healthy(
-        box.listed.entries[made.id].endpoint, "/healthz"
-    )
+    await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
     assert made.received
     assert box.book.limits.per_s(made.id) == 2.0
 
--- a/tests/test_own_hold_ups.py
+++ b/tests/test_own_hold_ups.py
@@ -130,7 +130,7 @@
         timers.Timers(),
     )
     asking = asyncio.create_task(
-        probes._is_healthy(raw_peers.endpoint_at(peer), "/healthz")
+        probes._ask(raw_peers.endpoint_at(peer), "/healthz")
     )
     other_side = await peer.accept()
     assert await peer.request(other_side)
