--- a/martenjunction/routing/endpoint_book.py
+++ b/martenjunction/routing/endpoint_book.py
@@ -26,7 +26,7 @@
 # Lower and upper bound of the ratio of observed to predicted latency.
 SLOWNESS = (0.3, 4.0)
 
-# Maximum slowness of an engine whose token pauses are used to learn the figures
+# Maximum slowness of an engine whose token pauses are used to learn the profile
 # of its service.
 MAX_LEARNING_SLOWNESS = 1.5
 
@@ -128,7 +128,7 @@
 
     @property
     def engines(self) -> service_engines.ServiceEngines:
-        """The learned engine figures of each service."""
+        """The engine profiles and prefill demand of each service."""
         return self._engines
 
     @property
--- a/martenjunction/routing/endpoint_ends.py
+++ b/martenjunction/routing/endpoint_ends.py
@@ -1,8 +1,7 @@
-"""Checks whether an endpoint has ended after a run there broke off.
+"""Checks whether an endpoint crashed after a run there broke off.
 
-At first, a connection reset, a network partition and a terminated endpoint
-cannot be told apart. The port of a terminated endpoint refuses connections at
-once.
+A connection reset, a network partition and a crashed endpoint look the same at
+first. Only the port of a crashed endpoint refuses connections at once.
 """
 
 import asyncio
@@ -44,11 +43,11 @@
         self._on_ended: EndCallback = lambda endpoint_id: None
 
     def on_ended(self, callback: EndCallback) -> None:
-        """Sets the callback for endpoints found to have ended."""
+        """Sets the callback for endpoints found to have crashed."""
         self._on_ended = callback
 
     async def check(self, endpoint: model.Endpoint) -> None:
-        """Checks whether an endpoint has ended unexpectedly.
+        """Checks whether an endpoint crashed.
 
         If it has, the callback is usually called before this method returns.
         The wait is bounded by a timeout, so it may also be called later.
--- a/martenjunction/routing/offers.py
+++ b/martenjunction/routing/offers.py
@@ -63,8 +63,8 @@
         stop_limit_s: Seconds after which a planned stop ends the remaining
             requests.
         content_keys: Computes the content keys that identify resent requests.
-        suspects: Tracks requests suspected of ending endpoints.
-        ends: Checks whether endpoints have ended.
+        suspects: Quarantines requests that crash endpoints.
+        ends: Checks whether endpoints crashed.
         grants: Grants requests to endpoints with a rate limit.
         precedence: Decides which tiers go first at those endpoints.
     """
@@ -214,7 +214,7 @@
                     permit.close()
             if offer is None or permit.stands():
                 return offer
-            # An endpoint ended while running this request in the meantime.
+            # In the meantime, an endpoint crashed while running this request.
             permit.close()
             self._tools.grants.put_back(offer.grant)
             self._tools.pool.release(offer.endpoint.id, offer.run.connection)
--- a/martenjunction/routing/permits.py
+++ b/martenjunction/routing/permits.py
@@ -22,10 +22,10 @@
         """Records that a run received a complete response."""
 
     def note_unsure(self, permit: "Permit", endpoint: model.Endpoint) -> None:
-        """Records that a run broke off and its endpoint may have ended."""
+        """Records that a run broke off and its endpoint may have crashed."""
 
     def note_end(self, permit: "Permit", endpoint: model.Endpoint) -> None:
-        """Records that an endpoint ended during a run."""
+        """Records that an endpoint crashed during a run."""
 
     def end_trial(self, permit: "Permit") -> None:
         """Records that an isolated trial run was inconclusive."""
@@ -80,18 +80,18 @@
         return {e.id for e in ready if model.build(e, self.service) in builds}
 
     def answered(self) -> None:
-        """Records a complete response: the endpoint did not end."""
+        """Records a complete response: the endpoint did not crash."""
         if not self._result_known:
             self._result_known = True
             self._issuer.note_answer(self)
 
     def broken(self, endpoint: model.Endpoint) -> None:
-        """Records that the run broke off and the endpoint may have ended."""
+        """Records that the run broke off and the endpoint may have crashed."""
         self._broken = True
         self._issuer.note_unsure(self, endpoint)
 
     def ended(self, endpoint: model.Endpoint) -> None:
-        """Records that the endpoint ended during the run."""
+        """Records that the endpoint crashed during the run."""
         if not self._result_known:
             self._result_known = True
             self._issuer.note_end(self, endpoint)
@@ -99,9 +99,9 @@
     def close(self) -> None:
         """Records that the run is over, whatever its result.
 
-        A run that broke off does not end its trial: the end of its endpoint
+        A run that broke off does not end its trial: the crash of its endpoint
         may be confirmed only later, and another trial started before then
-        could end a second endpoint.
+        could crash a second endpoint.
         """
         self._closed = True
         if self.apart and not self._result_known and not self._broken:
--- a/martenjunction/routing/service_engines.py
+++ b/martenjunction/routing/service_engines.py
@@ -1,4 +1,4 @@
-"""Engine performance and prefill demand of each service."""
+"""Engine profiles and prefill demand of each service."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -26,7 +26,7 @@
     Attributes:
         learner: Estimates the speed of the engines.
         demand: Measures the prefill demand.
-        logged: The figures last written to the log.
+        logged: The profile last written to the log.
     """
 
     learner: engine_figures.FiguresLearner = dataclasses.field(
@@ -39,19 +39,19 @@
 
 
 class ServiceEngines:
-    """Tracks the figures shared by the engines of each service."""
+    """Tracks the profile shared by the engines of each service."""
 
     def __init__(self, log: decision_log.DecisionLog) -> None:
         """Initializes the table.
 
         Args:
-            log: Receives a line for each change of the figures.
+            log: Receives a line for each change of a profile.
         """
         self._log = log
         self._services: dict[str, _EngineData] = {}
 
     def figures(self, service: str) -> engine_figures.EngineFigures:
-        """Returns the learned figures of the engines of a service."""
+        """Returns the learned profile of the engines of a service."""
         return self._service(service).learner.figures
 
     def asked(self, service: str, now: float) -> reading_demand.ReadingRates:
@@ -107,14 +107,14 @@
             service.demand.take_peer(box, rates, now)
 
     def dump(self, now: float) -> dict[str, dict[str, float | None]]:
-        """Returns the current figures by service, for diagnostics."""
+        """Returns the current profiles by service, for diagnostics."""
         return {
             name: _readable_figures(service, now)
             for name, service in self._services.items()
         }
 
     def settle(self, now: float) -> None:
-        """Recomputes all figures and logs those that changed."""
+        """Recomputes all profiles and logs those that changed."""
         for name, service in self._services.items():
             service.learner.settle(now)
             figures = service.learner.figures
@@ -136,7 +136,7 @@
 def _readable_figures(
     service: _EngineData, now: float
 ) -> dict[str, float | None]:
-    """Returns the figures of one service in a readable form."""
+    """Returns the profile and demand of one service, in readable units."""
     figures = service.learner.figures
     asked = service.demand.total(now)
     return {
--- a/tests/routing_builders.py
+++ b/tests/routing_builders.py
@@ -128,7 +128,7 @@
     )
 
 
-# Learned figures of an engine with a prefill rate of 50,000 tokens per second,
+# Learned profile of an engine with a prefill rate of 50,000 tokens per second,
 # whose streams get a token every 43.1 ms during prefill.
 FIGURES = engine_figures.EngineFigures(50_000.0, 0.0431)
 
--- a/tests/test_gateway_engines.py
+++ b/tests/test_gateway_engines.py
@@ -1,4 +1,4 @@
-"""End-to-end tests of learned engine figures and of box listings."""
+"""End-to-end tests of learned engine profiles and of box listings."""
 
 import asyncio
 import contextlib
