--- a/tests/test_endpoint_refusals.py
+++ b/tests/test_endpoint_refusals.py
@@ -184,7 +184,7 @@
     return made
 
 
-async def test_retry_after_covers_the_backoff_of_the_first_endpoint(
+async def test_retry_after_reflects_the_backoff(
     fleet: boxes.Boxes,
 ) -> None:
     made = await add_backoff_replica(fleet, "i-1")
--- a/tests/test_limit_gate.py
+++ b/tests/test_limit_gate.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("path", ["/safe/", "/unsafe/", "/digest/", "/chat/"])
-async def test_endpoints_without_a_limit_are_preferred(
+async def test_requests_go_to_endpoints_without_a_limit(
     fleet: boxes.Boxes, path: str
 ) -> None:
     engine = path in ("/digest/", "/chat/")
