--- a/martenjunction/routing/endpoint_book.py
+++ b/martenjunction/routing/endpoint_book.py
@@ -325,9 +325,9 @@
             ratio = pause_s / base
             record.slowness.add(min(max(ratio, SLOWNESS[0]), SLOWNESS[1]))
             if ticket.choice.ahead == 0 and ticket.choice.again == 0:
-                # Excludes prompts with shared parts, which may be cached by
-                # the engine without this box knowing: a restarted box would
-                # greatly overestimate the speed of its engines.
+                # Excludes prompts with shared parts that count as uncached.
+                # The engine may have cached them unknown to this box, so that
+                # a restarted box would greatly overestimate its engines.
                 self._engines.note_prefill_time(
                     ticket.demand.service, ticket.choice.unread, pause_s
                 )
--- a/martenjunction/routing/exchange.py
+++ b/martenjunction/routing/exchange.py
@@ -25,12 +25,12 @@
 # Retry-After, in seconds, if no endpoint accepts the request.
 RETRY_BUSY_S = 0.25
 
-# Time, in seconds, from the begin of a planned stop after which new streams are
+# Time, in seconds, from the start of a planned stop after which new streams are
 # refused: they would be cut off when the box is killed. By then, clients have
 # learned of other boxes.
 STREAM_ADMISSION_S = 2.8
 
-# Time, in seconds, from the begin of a planned stop during which all other
+# Time, in seconds, from the start of a planned stop during which all other
 # requests are admitted, whatever their latency target.
 MIN_ADMISSION_S = 0.5
 
--- a/martenjunction/routing/service_engines.py
+++ b/martenjunction/routing/service_engines.py
@@ -11,9 +11,9 @@
 MICROSECOND_S = 0.000001
 
 # One box's report on the engines of a service: service name, prefill rate in
-# tokens per second, decode time per token during prefill in microseconds (both
-# 0 if there are too few observations), and the prompt tokens per second
-# requested through this box by requests with short and with long prompts.
+# tokens per second, decode time per token during prefill in microseconds (each
+# 0 without enough observations), and the prompt tokens per second requested
+# through this box by requests with short and with long prompts.
 EngineRow = tuple[str, int, int, int, int]
 
 _NO_FIGURES = engine_figures.LearntFigures()
--- a/tests/gateway_requests.py
+++ b/tests/gateway_requests.py
@@ -108,7 +108,7 @@
 
 
 def behave(made: list[replica.Replica], behaviour: Behaviour) -> None:
-    """Sets the behaviour of the first response of each replica."""
+    """Plans the behaviour for the next request of each replica."""
     for stand_in in made:
         stand_in.plan(behaviour)
 
