--- a/martenjunction/routing/endpoint_book.py
+++ b/martenjunction/routing/endpoint_book.py
@@ -1,4 +1,4 @@
-"""What this box knows of endpoints: the list, loads and soundness."""
+"""Tracks endpoint loads and health and selects endpoints for requests."""
 
 import math
 import random
@@ -12,30 +12,33 @@
 from martenjunction.decisions.boxes import endpoint_loads
 from martenjunction.decisions.boxes import endpoint_records
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_trust
+from martenjunction.routing import endpoint_ejection
 from martenjunction.routing import service_engines
 
-# Longest time, in seconds, between two looks at silent endpoints that counts
-# as listened: looks are due each 0.1 s, and beyond this the box was held up.
-LONGEST_LOOK_S = 0.15
+# Maximum time between two ticks, in seconds, that counts as listening time.
+# Ticks are due every 0.1 s; a longer gap means that this box was stalled.
+MAX_TICK_GAP_S = 0.15
 
-# Part by which what was learnt of an endpoint without work moves back towards
-# the best of its service, each time it is looked at.
-IDLE_DRIFT = 0.02
+# Fraction by which the statistics of an idle endpoint move back towards their
+# best-case values on each tick.
+IDLE_DECAY = 0.02
 
-# Bounds of an observed time over its prediction.
+# Lower and upper bound of the ratio of observed to predicted latency.
 SLOWNESS = (0.3, 4.0)
 
-# How slow an engine may be for the figures of its service to be learnt from it.
-SLOW = 1.5
+# Maximum slowness of an engine whose token pauses are used to learn the profile
+# of its service.
+MAX_LEARNING_SLOWNESS = 1.5
 
 
 class RunTicket:
-    """One request at one endpoint, for the accounts of its load.
+    """Tracks one in-flight request at one endpoint.
 
     Attributes:
-        move: Whether it should be taken from its endpoint, which is silent.
-        lost: Whether its run ended with its endpoint, which started again.
+        move_requested: Whether the endpoint is silent, so that the request
+            should be moved to another one.
+        endpoint_restarted: Whether the endpoint restarted, which ended the
+            run.
     """
 
     def __init__(
@@ -45,27 +48,27 @@
         now: float,
         listened: float,
     ) -> None:
-        """Books a request that is about to be sent.
+        """Initializes the ticket of a request that is about to be sent.
 
         Args:
-            choice: Where it goes.
-            demand: What it asks.
+            choice: The selected endpoint and its predicted latency.
+            demand: The resources that the request needs.
             now: The current time.
-            listened: The same, on the book's clock of what was listened.
+            listened: The current time on the registry's listening clock.
         """
         self.record = choice.record
         self.choice = choice
         self.demand = demand
-        self.began_at = now
+        self.started_at = now
         self.sent_at = listened
-        self.heard_at = listened
+        self.last_received_at = listened
         self.waiting = True
-        self.move = False
-        self.lost = False
+        self.move_requested = False
+        self.endpoint_restarted = False
 
 
 def describe(choice: endpoint_choice.Choice) -> dict[str, Any]:
-    """Returns what a choice was made from, for the log."""
+    """Returns the inputs of an endpoint selection, for the log."""
     return {
         "endpoint": choice.record.id,
         "predicted_ms": round(choice.predicted_s * 1000, 1),
@@ -78,13 +81,14 @@
     }
 
 
-# What one box has at one endpoint: its id, the urgency and whether prompts
-# are long, the requests of that kind and their tokens that are yet unread.
+# The load of one box at one endpoint: endpoint id, urgency, whether the prompts
+# are long, number of in-flight requests of that kind, and their prompt tokens
+# that are not processed yet.
 LoadRow = tuple[str, int, bool, int, int]
 
 
 class EndpointBook:
-    """The endpoints of all services, and which of them suits a request."""
+    """Tracks the endpoints of all services and selects one per request."""
 
     def __init__(
         self,
@@ -92,49 +96,49 @@
         log: decision_log.DecisionLog,
         rng: random.Random,
     ) -> None:
-        """Makes a book.
+        """Initializes the registry.
 
         Args:
-            listed: Which endpoints there are.
-            log: Told of each endpoint that is given up or trusted again.
+            listed: The list of endpoints.
+            log: Receives a line for each endpoint ejected or reinstated.
             rng: Breaks ties.
         """
         self._listed = listed
-        self._trust = endpoint_trust.EndpointTrust(log)
+        self._ejection = endpoint_ejection.EjectionTracker(log)
         self._rng = rng
         self._records: dict[str, endpoint_records.EndpointRecord] = {}
         self._tickets: set[RunTicket] = set()
-        self._heard: dict[str, float] = {}
+        self._last_received: dict[str, float] = {}
         self._engines = service_engines.ServiceEngines(log)
         self._limits = endpoint_limits.LimitTable()
-        self._told_by: dict[str, set[str]] = {}
+        self._reported_by: dict[str, set[str]] = {}
         self._scale = 1.0
-        self._looked_at = math.inf
-        self._held_up_s = 0.0
+        self._last_tick_at = math.inf
+        self._stalled_s = 0.0
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
-        """The platform's list as this box knows it."""
+        """The platform's endpoint list, as last seen by this box."""
         return self._listed
 
     @property
     def records(self) -> dict[str, endpoint_records.EndpointRecord]:
-        """What was learnt, by endpoint id; to be read only."""
+        """The endpoint records by endpoint id; read-only."""
         return self._records
 
     @property
     def engines(self) -> service_engines.ServiceEngines:
-        """What is known of the engines of each service."""
+        """The engine profiles and prefill demand of each service."""
         return self._engines
 
     @property
     def limits(self) -> endpoint_limits.LimitTable:
-        """The requests a second that endpoints take."""
+        """The rate limits of endpoints, in requests per second."""
         return self._limits
 
     @property
     def running(self) -> int:
-        """Requests at endpoints now."""
+        """The number of in-flight requests."""
         return len(self._tickets)
 
     def choose(
@@ -145,18 +149,19 @@
         now: float,
         apart: bool = False,
     ) -> tuple[model.Endpoint, endpoint_choice.Choice] | None:
-        """Chooses an endpoint for a request.
+        """Selects an endpoint for a request.
 
         Args:
             service: The service.
-            demand: What the request asks.
-            avoid: Ids of endpoints that already failed it.
+            demand: The resources that the request needs.
+            avoid: Ids of endpoints to exclude.
             now: The current time.
-            apart: Whether it goes where fewest others run.
+            apart: Whether to prefer the endpoint with the fewest in-flight
+                requests.
 
         Returns:
-            The endpoint and what it was chosen from, or None if there is
-            none.
+            The endpoint and the selection data, or None if no endpoint is
+            available.
         """
         endpoints = {
             endpoint.id: endpoint
@@ -171,10 +176,11 @@
         return endpoints[choice.record.id], choice
 
     def accepts(self, endpoint_id: str, now: float) -> bool:
-        """Returns whether an endpoint may be sent work at this moment.
+        """Returns whether an endpoint currently accepts work.
 
-        To be asked again right before a request is sent: what an endpoint
-        said of itself since it was chosen must not be passed over.
+        Callers check this again right before sending a request, because the
+        endpoint may have announced a back-off, a rate limit or its shutdown
+        since it was selected.
         """
         record = self._records.get(endpoint_id)
         return self._listed.may_send(endpoint_id) and (
@@ -182,17 +188,15 @@
         )
 
     def opens_in_s(self, service: model.Service, now: float) -> float | None:
-        """Returns when a request that no endpoint may be sent can come back.
-
-        That is once the first endpoint of its service takes work again.
+        """Returns when the first endpoint of a service accepts work again.
 
         Args:
             service: The service.
             now: The current time.
 
         Returns:
-            Seconds from now; None where one may be sent some now, or none is
-            known.
+            Seconds from now, with random jitter added; None if an endpoint
+            accepts work now or none is known.
         """
         times = [
             max(
@@ -207,18 +211,18 @@
         first_s = min(times, default=0.0)
         if not first_s:
             return None
-        # Clients that are told alike come back in the same moment.
+        # Without jitter, clients refused together would retry together.
         return first_s + self._rng.uniform(0.0, endpoint_refusals.RETURN_STEP_S)
 
     def limited(self, service: str) -> bool:
-        """Returns whether an endpoint of a service names a limit."""
+        """Returns whether any endpoint of a service announces a rate limit."""
         return any(
             self._limits.per_s(endpoint.id) is not None
             for endpoint in self._listed.ready(service)
         )
 
     def unlimited(self, endpoint_id: str, now: float) -> None:
-        """Notes that an endpoint names no limit any more.
+        """Records that an endpoint no longer announces a rate limit.
 
         Args:
             endpoint_id: The endpoint.
@@ -229,22 +233,24 @@
             record.refusals.return_from(now)
 
     def resting(self, now: float) -> int:
-        """Returns how many endpoints want nothing from this box."""
+        """Returns the number of endpoints in back-off for this box."""
         return sum(
             now < record.refusals.rest_until
             for record in self._records.values()
         )
 
     def rest(self, endpoint_id: str, seconds: float, now: float) -> float:
-        """Notes that an endpoint wants nothing from this box for some time.
+        """Starts or extends the back-off that an endpoint requested.
+
+        The back-off applies to this box only.
 
         Args:
             endpoint_id: The endpoint.
-            seconds: For how long it asks.
+            seconds: The requested duration.
             now: The current time.
 
         Returns:
-            Seconds by which its rest got longer; 0 if it did not.
+            Seconds by which the back-off was extended; 0 if it was not.
         """
         record = self._records.get(endpoint_id)
         if record is None:
@@ -254,11 +260,11 @@
     def serves_lower_tiers(
         self, service: model.Service, urgency: int, now: float
     ) -> bool:
-        """Returns whether requests of a lower tier run at a service.
+        """Returns whether lower-tier requests are running at a service.
 
         Args:
             service: The service.
-            urgency: Of a request.
+            urgency: The urgency to compare with.
             now: The current time.
         """
         return any(
@@ -273,7 +279,7 @@
         demand: endpoint_records.Demand,
         now: float,
     ) -> endpoint_choice.Choice:
-        """Returns what is expected of a request at one endpoint."""
+        """Returns the prediction for a request at a given endpoint."""
         record = self._record(endpoint, service)
         return endpoint_choice.weigh(record, demand, False, now)
 
@@ -283,8 +289,8 @@
         demand: endpoint_records.Demand,
         now: float,
     ) -> RunTicket:
-        """Books a request that is sent to the chosen endpoint."""
-        ticket = RunTicket(choice, demand, now, self._listened(now))
+        """Records that a request is sent to the selected endpoint."""
+        ticket = RunTicket(choice, demand, now, self._listening_time(now))
         choice.record.loads.add(demand.load_key, 1, choice.unread)
         if demand.is_engine:
             choice.record.sent(choice.unread, now)
@@ -292,21 +298,21 @@
         return ticket
 
     def heard(self, ticket: RunTicket, now: float, events: int = 0) -> None:
-        """Notes that bytes of an answer came.
+        """Records that response bytes were received.
 
         Args:
             ticket: The run.
             now: The current time.
-            events: Whole events of a stream among them.
+            events: The number of complete stream events among them.
         """
         record = ticket.record
-        listened = self._listened(now)
-        self._heard[record.id] = listened
-        self._trust.heard(record, now)
-        record.refusals.answer(ticket.began_at)
-        ticket.move = False
-        pause_s = listened - ticket.heard_at
-        ticket.heard_at = listened
+        listened = self._listening_time(now)
+        self._last_received[record.id] = listened
+        self._ejection.note_response(record, now)
+        record.refusals.answer(ticket.started_at)
+        ticket.move_requested = False
+        pause_s = listened - ticket.last_received_at
+        ticket.last_received_at = listened
         if not ticket.waiting:
             self._learn_pause(ticket, pause_s, events, now)
             return
@@ -314,108 +320,114 @@
         record.loads.add(ticket.demand.load_key, 0, -ticket.choice.unread)
         if ticket.demand.is_engine:
             record.remember(ticket.demand.parts)
-            # The prediction holds the slowness already.
+            # The prediction already includes the slowness factor.
             base = ticket.choice.predicted_s / record.slowness.value
             ratio = pause_s / base
             record.slowness.add(min(max(ratio, SLOWNESS[0]), SLOWNESS[1]))
             if ticket.choice.ahead == 0 and ticket.choice.again == 0:
-                # Shared parts that were thought unread may have been held: a
-                # box that restarted would take its engines for far too fast.
-                self._engines.note_read(
+                # Excludes prompts with shared parts that count as uncached.
+                # The engine may have cached them unknown to this box, so that
+                # a restarted box would greatly overestimate its engines.
+                self._engines.note_prefill_time(
                     ticket.demand.service, ticket.choice.unread, pause_s
                 )
 
     def _learn_pause(
         self, ticket: RunTicket, pause_s: float, events: int, now: float
     ) -> None:
-        """Learns from a pause of a stream beside prompts that are read."""
+        """Learns from a stream pause that overlapped with prefill."""
         record = ticket.record
         if not events or not record.loads.waiting(now):
             return
-        if record.slowness.value > SLOW:
+        if record.slowness.value > MAX_LEARNING_SLOWNESS:
             return
         tokens = events * ticket.demand.tokens_per_event
-        self._engines.note_paused(ticket.demand.service, pause_s / tokens)
+        self._engines.note_token_pause(ticket.demand.service, pause_s / tokens)
 
     def end(self, ticket: RunTicket, now: float, failed: bool) -> None:
-        """Books the end of a request at an endpoint."""
+        """Records the end of a run at an endpoint."""
         record = ticket.record
         self._tickets.discard(ticket)
         unread = ticket.choice.unread if ticket.waiting else 0
         record.loads.add(ticket.demand.load_key, -1, -unread)
         ticket.waiting = False
         if not (failed and now < record.refusals.rest_until):
-            # A rest keeps work from it by itself, and after the rest it has
-            # its share again.
+            # The back-off alone keeps work away; afterwards the endpoint gets
+            # its full share again.
             record.failures.add(1.0 if failed else 0.0)
         if not failed and not ticket.demand.is_engine:
-            record.answer_s.add(self._listened(now) - ticket.sent_at)
+            record.answer_s.add(self._listening_time(now) - ticket.sent_at)
 
-    def refused(self, endpoint_id: str, now: float) -> None:
-        """Notes that an endpoint refused work: it is full or leaves."""
+    def note_refusal(self, endpoint_id: str, now: float) -> None:
+        """Records that an endpoint, full or leaving, refused a request."""
         self._records[endpoint_id].refusals.refuse(now)
 
-    def not_reached(self, endpoint_id: str, now: float) -> None:
-        """Notes that no connection to an endpoint could be had."""
+    def note_unreachable(self, endpoint_id: str, now: float) -> None:
+        """Records that no connection to an endpoint could be made."""
         record = self._records.get(endpoint_id)
         if record is not None:
-            self._trust.not_reached(record, now)
+            self._ejection.note_unreachable(record, now)
 
     def broken(self, endpoint_id: str, now: float) -> None:
-        """Notes that an endpoint broke an answer off."""
+        """Records that a response of an endpoint was broken off."""
         record = self._records.get(endpoint_id)
         if record is not None:
-            self._trust.broken(record, now)
+            self._ejection.note_broken_response(record, now)
 
     def due_for_probe(self, now: float) -> list[str]:
-        """Returns ids of ejected endpoints that no request has tried.
+        """Returns the ids of ejected endpoints to probe.
 
-        Health checks are requests: one that wants rest gets none.
+        These are endpoints that no request has tried. A health check counts as
+        a request, so endpoints in back-off are not probed.
         """
         return [
             record.id
             for record in self._records.values()
-            if endpoint_trust.due_for_probe(record, now)
+            if endpoint_ejection.due_for_probe(record, now)
             and self.accepts(record.id, now)
             and self._limits.is_open(record.id, now)
         ]
 
-    def probed(self, endpoint_id: str, sound: bool, now: float) -> None:
-        """Notes the answer to a health check of an ejected endpoint."""
+    def note_probe_result(
+        self, endpoint_id: str, healthy: bool, now: float
+    ) -> None:
+        """Records the result of a health check of an ejected endpoint."""
         record = self._records.get(endpoint_id)
         if record is not None:
-            self._trust.probed(record, sound, now)
+            self._ejection.note_probe_result(record, healthy, now)
 
     def tick(self, now: float) -> None:
-        """Looks for silent endpoints and forgets those that are gone."""
-        self._held_up_s += self._late(now)
-        self._looked_at = now
+        """Ejects silent endpoints and drops the records of removed ones."""
+        self._stalled_s += self._stall_s(now)
+        self._last_tick_at = now
         for record in self._records.values():
             if not self._is_silent(record, now):
                 continue
-            self._trust.silent(record, now)
+            self._ejection.note_silence(record, now)
             for ticket in self._tickets:
                 if ticket.record is record:
-                    ticket.move = True
+                    ticket.move_requested = True
         for ticket in self._tickets:
-            # The connection may stay open: a box that is cut off from the
-            # endpoint learns of its new start from the store or a peer.
+            # The connection may stay open: a box partitioned from the endpoint
+            # learns of its restart from the store or from a peer.
             if self._listed.restarted(ticket.record.id):
-                ticket.lost = True
-        for gone in [i for i in self._records if i not in self._listed.entries]:
-            record = self._records[gone]
-            # What it asked for holds if its entry comes back, but not for
-            # another start of it.
-            rests = now < record.refusals.rest_until
-            kept = rests and not self._listed.restarted(gone)
-            if record.loads.own_running == 0 and not kept:
-                del self._records[gone]
-                self._heard.pop(gone, None)
-        self._drift()
+                ticket.endpoint_restarted = True
+        for removed in [
+            i for i in self._records if i not in self._listed.entries
+        ]:
+            record = self._records[removed]
+            # Its back-off still applies if the entry reappears, unless the
+            # endpoint restarted.
+            in_backoff = now < record.refusals.rest_until
+            keep_backoff = in_backoff and not self._listed.restarted(removed)
+            if record.loads.own_running == 0 and not keep_backoff:
+                del self._records[removed]
+                self._last_received.pop(removed, None)
+        self._decay_idle()
         self._engines.settle(now)
 
     def loads(self) -> list[LoadRow]:
-        """Returns what this box has at each endpoint where it has anything."""
+        """Returns the non-zero loads of this box, for the other boxes."""
         return [
             (
                 record.id,
@@ -430,7 +442,7 @@
         ]
 
     def sent_tokens(self) -> list[tuple[str, int]]:
-        """Returns the tokens that this box has sent to each engine."""
+        """Returns the total tokens that this box has sent to each engine."""
         return [
             (record.id, record.sent_tokens)
             for record in self._records.values()
@@ -438,7 +450,7 @@
         ]
 
     def scale_loads(self, scale: float) -> None:
-        """Notes how much more all boxes have than those that are heard."""
+        """Sets the ratio of the total load to the load of reachable boxes."""
         self._scale = scale
         for record in self._records.values():
             record.loads.scale = scale
@@ -446,7 +458,7 @@
     def take_peer_sent(
         self, box: str, rows: list[tuple[str, int]], now: float
     ) -> None:
-        """Notes the tokens that another box has sent to each engine."""
+        """Updates the total tokens that another box has sent to each engine."""
         for endpoint_id, total in rows:
             record = self._records.get(endpoint_id)
             if record is not None:
@@ -455,30 +467,33 @@
     def take_peer_loads(
         self, box: str, rows: list[LoadRow], now: float
     ) -> None:
-        """Notes what another box has at endpoints."""
-        told: dict[str, dict[endpoint_loads.LoadKey, endpoint_loads.Load]] = {}
+        """Replaces the endpoint loads reported by another box."""
+        reported: dict[
+            str, dict[endpoint_loads.LoadKey, endpoint_loads.Load]
+        ] = {}
         for endpoint_id, urgency, is_long, running, unread in rows:
             key = endpoint_loads.LoadKey(urgency, is_long)
-            loads = told.setdefault(endpoint_id, {})
+            loads = reported.setdefault(endpoint_id, {})
             loads[key] = endpoint_loads.Load(running, unread)
-        # Only what it tells, or told last: with 56 engines it tells of a few.
-        before = self._told_by.get(box, set())
-        self._told_by[box] = set(told)
-        if not told:
-            del self._told_by[box]
-        for endpoint_id in before | set(told):
+        # Visits only endpoints in this or the previous report, which are a few
+        # even with 56 engines.
+        previous = self._reported_by.get(box, set())
+        self._reported_by[box] = set(reported)
+        if not reported:
+            del self._reported_by[box]
+        for endpoint_id in previous | set(reported):
             record = self._records.get(endpoint_id)
             if record is not None:
-                record.loads.take_peer(box, told.get(endpoint_id, {}), now)
+                record.loads.take_peer(box, reported.get(endpoint_id, {}), now)
 
     def _record(
         self, endpoint: model.Endpoint, service: model.Service
     ) -> endpoint_records.EndpointRecord:
         record = self._records.get(endpoint.id)
         if record is None:
-            cache = service.engine.cache_tokens if service.engine else 0
+            cache_tokens = service.engine.cache_tokens if service.engine else 0
             record = endpoint_records.EndpointRecord(
-                endpoint.id, endpoint.zone, endpoint.slots, cache
+                endpoint.id, endpoint.zone, endpoint.slots, cache_tokens
             )
             record.loads.scale = self._scale
             self._records[endpoint.id] = record
@@ -487,32 +502,32 @@
         record.limited = self._limits.per_s(endpoint.id) is not None
         return record
 
-    def _listened(self, now: float) -> float:
-        """Returns a time on a clock that stops while this box is held up.
+    def _listening_time(self, now: float) -> float:
+        """Returns the time on a clock that pauses while this box is stalled.
 
-        What endpoints sent meanwhile is not read yet: else one hold-up makes
-        all of them silent, and slow.
+        Bytes sent by endpoints during a stall are not read yet. Counted on the
+        steady clock, one stall would make all endpoints look silent and slow.
         """
-        return now - self._held_up_s - self._late(now)
+        return now - self._stalled_s - self._stall_s(now)
 
-    def _late(self, now: float) -> float:
-        return max(0.0, now - self._looked_at - LONGEST_LOOK_S)
+    def _stall_s(self, now: float) -> float:
+        return max(0.0, now - self._last_tick_at - MAX_TICK_GAP_S)
 
     def _is_silent(
         self, record: endpoint_records.EndpointRecord, now: float
     ) -> bool:
-        owed = [t.sent_at for t in self._tickets if t.record is record]
-        heard_at = self._heard.get(record.id, 0.0)
-        return endpoint_trust.is_silent(
-            record, owed, heard_at, self._listened(now)
+        pending_since = [t.sent_at for t in self._tickets if t.record is record]
+        last_received_at = self._last_received.get(record.id, 0.0)
+        return endpoint_ejection.is_silent(
+            record, pending_since, last_received_at, self._listening_time(now)
         )
 
-    def _drift(self) -> None:
-        """Lets what was learnt of endpoints without work fade."""
+    def _decay_idle(self) -> None:
+        """Decays the statistics of idle endpoints to their best-case values."""
         for record in self._records.values():
             if record.loads.own_running == 0:
-                record.failures.drift(0.0, IDLE_DRIFT)
-                record.slowness.drift(1.0, IDLE_DRIFT)
+                record.failures.drift(0.0, IDLE_DECAY)
+                record.slowness.drift(1.0, IDLE_DECAY)
                 record.answer_s.drift(
-                    endpoint_records.PLAIN_ANSWER_S, IDLE_DRIFT
+                    endpoint_records.PLAIN_ANSWER_S, IDLE_DECAY
                 )
--- /dev/null
+++ b/martenjunction/routing/endpoint_ejection.py
@@ -0,0 +1,132 @@
+"""Ejects unhealthy endpoints and reinstates them."""
+
+from martenjunction.decisions import endpoint_states
+from martenjunction.decisions.boxes import endpoint_records
+from martenjunction.routing import decision_log
+
+# Time, in seconds, without a byte from an endpoint with pending responses,
+# after which it is ejected. A plain service answers within tens of
+# milliseconds; an engine's running streams send an event every 20 to 250 ms.
+PLAIN_SILENCE_TIMEOUT_S = 0.4
+ENGINE_SILENCE_TIMEOUT_S = 1.0
+SINGLE_SILENCE_TIMEOUT_S = 1.5
+
+# Time, in seconds, for which an ejected endpoint due for a trial waits for a
+# repeatable request before it is probed with a health check.
+PROBE_DELAY_S = 1.5
+
+
+def is_silent(
+    record: endpoint_records.EndpointRecord,
+    pending_since: list[float],
+    last_received_at: float,
+    now: float,
+) -> bool:
+    """Returns whether an endpoint with pending responses is silent.
+
+    Args:
+        record: The endpoint.
+        pending_since: The send times of its pending requests.
+        last_received_at: When the last byte was received; 0 for never.
+        now: The current time.
+    """
+    if _is_ejected(record) or not pending_since:
+        return False
+    timeout_s = (
+        ENGINE_SILENCE_TIMEOUT_S
+        if record.cache_tokens
+        else PLAIN_SILENCE_TIMEOUT_S
+    )
+    if len(pending_since) == 1:
+        # A single response may be slow by itself.
+        timeout_s = max(timeout_s, SINGLE_SILENCE_TIMEOUT_S)
+    since = max(min(pending_since), last_received_at)
+    return now - since > timeout_s
+
+
+def due_for_probe(record: endpoint_records.EndpointRecord, now: float) -> bool:
+    """Returns whether an ejected endpoint needs a health check."""
+    return (
+        _is_ejected(record)
+        and record.loads.own_running == 0
+        and record.health.trial_due(now - PROBE_DELAY_S)
+    )
+
+
+class EjectionTracker:
+    """Applies the state transitions of endpoints and logs them."""
+
+    def __init__(self, log: decision_log.DecisionLog) -> None:
+        """Initializes the tracker.
+
+        Args:
+            log: Receives a line for each endpoint ejected or reinstated.
+        """
+        self._log = log
+
+    def note_response(
+        self, record: endpoint_records.EndpointRecord, now: float
+    ) -> None:
+        """Reinstates an ejected endpoint that responds."""
+        if _is_ejected(record):
+            self._apply(record, endpoint_states.EndpointEvent.TRIAL_PASSED, now)
+
+    def note_unreachable(
+        self, record: endpoint_records.EndpointRecord, now: float
+    ) -> None:
+        """Ejects an endpoint to which no connection could be made."""
+        record.health.fault(reached=False)
+        self._eject(record, "not reached", now)
+
+    def note_broken_response(
+        self, record: endpoint_records.EndpointRecord, now: float
+    ) -> None:
+        """Counts a broken response; ejects the endpoint after several."""
+        record.health.fault(reached=True)
+        if record.health.faults >= endpoint_states.MAX_FAULTS:
+            self._eject(record, "responses broken off", now)
+
+    def note_silence(
+        self, record: endpoint_records.EndpointRecord, now: float
+    ) -> None:
+        """Ejects a silent endpoint."""
+        self._eject(record, "silent", now)
+
+    def note_probe_result(
+        self, record: endpoint_records.EndpointRecord, healthy: bool, now: float
+    ) -> None:
+        """Applies the result of a health check of an ejected endpoint."""
+        passed = endpoint_states.EndpointEvent.TRIAL_PASSED
+        failed = endpoint_states.EndpointEvent.TRIAL_FAILED
+        self._apply(record, passed if healthy else failed, now, "health check")
+
+    def _eject(
+        self, record: endpoint_records.EndpointRecord, why: str, now: float
+    ) -> None:
+        event = endpoint_states.EndpointEvent.OUTLIER
+        if _is_ejected(record):
+            if not record.health.trial_due(now):
+                # The failed request was sent before the ejection.
+                return
+            event = endpoint_states.EndpointEvent.TRIAL_FAILED
+        self._apply(record, event, now, why)
+
+    def _apply(
+        self,
+        record: endpoint_records.EndpointRecord,
+        event: endpoint_states.EndpointEvent,
+        now: float,
+        why: str = "",
+    ) -> None:
+        if record.health.move(event, now):
+            self._log.write(
+                "endpoint-trust",
+                endpoint=record.id,
+                state=record.health.state.value,
+                why=why or event.value,
+                running=record.loads.own_running,
+            )
+
+
+def _is_ejected(record: endpoint_records.EndpointRecord) -> bool:
+    return record.health.state is endpoint_states.EndpointState.EJECTED
--- a/martenjunction/routing/endpoint_ends.py
+++ b/martenjunction/routing/endpoint_ends.py
@@ -1,7 +1,7 @@
-"""Whether an endpoint has ended, where a run at it broke off.
+"""Checks whether an endpoint crashed after a run there broke off.
 
-A reset connection, a cut and an endpoint that is given up look alike for a
-moment; the port of one that has ended refuses connections at once.
+A connection reset, a network partition and a crashed endpoint look the same at
+first. Only the port of a crashed endpoint refuses connections at once.
 """
 
 import asyncio
@@ -13,83 +13,84 @@
 from martenjunction.endpoints import pool
 from martenjunction.routing import endpoint_book
 
-# Seconds that a request waits for the answer before it goes on: connections
-# are made or refused within some milliseconds, and a repeat should not be late
-# where nothing answers.
-PATIENCE_S = 0.05
+# Maximum time, in seconds, that a request waits for the check. Connections are
+# made or refused within a few milliseconds, and a retry should not be delayed
+# if nothing answers.
+CHECK_TIMEOUT_S = 0.05
 
-# Seconds for which one answer serves all runs that broke off there.
-SHARED_S = 0.25
+# Time, in seconds, for which the result is shared by all runs that broke off at
+# the endpoint.
+RESULT_TTL_S = 0.25
 
-Ended = Callable[[str], None]
+EndCallback = Callable[[str], None]
 
 
 class EndpointEnds:
-    """Asks endpoints where runs broke off whether they are still there."""
+    """Checks endpoints at which runs broke off."""
 
     def __init__(
         self, book: endpoint_book.EndpointBook, connections: pool.EndpointPool
     ) -> None:
-        """Makes it.
+        """Initializes the checker.
 
         Args:
-            book: Knows the endpoints; told of those that are not reached.
-            connections: Connections to endpoints.
+            book: The endpoint registry; records unreachable endpoints.
+            connections: The connection pool.
         """
         self._book = book
         self._connections = connections
-        self._questions: dict[str, asyncio.Task[bool]] = {}
-        self._on_ended: Ended = lambda endpoint_id: None
+        self._checks: dict[str, asyncio.Task[bool]] = {}
+        self._on_ended: EndCallback = lambda endpoint_id: None
 
-    def on_ended(self, callback: Ended) -> None:
-        """Has a callback told of each endpoint that is found to have ended."""
+    def on_ended(self, callback: EndCallback) -> None:
+        """Sets the callback for endpoints found to have crashed."""
         self._on_ended = callback
 
-    async def ask(self, endpoint: model.Endpoint) -> None:
-        """Finds out whether an endpoint has ended, other than as planned.
+    async def check(self, endpoint: model.Endpoint) -> None:
+        """Checks whether an endpoint crashed.
 
-        The callback is told of it, most often before this returns; where
-        nothing answers it returns earlier.
+        If it has, the callback is usually called before this method returns.
+        The wait is bounded by a timeout, so it may also be called later.
         """
         listed = self._book.listed
         if listed.restarted(endpoint.id):
             self._on_ended(endpoint.id)
             return
         if not listed.may_send(endpoint.id):
-            # It leaves, or left, as planned.
+            # A planned shutdown is in progress or complete.
             return
-        question = self._questions.get(endpoint.id)
-        if question is None:
+        check_task = self._checks.get(endpoint.id)
+        if check_task is None:
             loop = asyncio.get_running_loop()
-            question = loop.create_task(self._ask(endpoint))
-            self._questions[endpoint.id] = question
-        elif question.done() and question.result():
+            check_task = loop.create_task(self._check(endpoint))
+            self._checks[endpoint.id] = check_task
+        elif check_task.done() and check_task.result():
             self._on_ended(endpoint.id)
-        await asyncio.wait([question], timeout=PATIENCE_S)
+        await asyncio.wait([check_task], timeout=CHECK_TIMEOUT_S)
 
     async def stop(self) -> None:
-        """Ends the questions that run."""
-        questions = list(self._questions.values())
-        for question in questions:
-            question.cancel()
-        await asyncio.gather(*questions, return_exceptions=True)
-
-    async def _ask(self, endpoint: model.Endpoint) -> bool:
-        ended = await self._refuses(endpoint)
+        """Cancels the running checks."""
+        check_tasks = list(self._checks.values())
+        for check_task in check_tasks:
+            check_task.cancel()
+        await asyncio.gather(*check_tasks, return_exceptions=True)
+
+    async def _check(self, endpoint: model.Endpoint) -> bool:
+        ended = await self._refuses_connections(endpoint)
         asyncio.get_running_loop().call_later(
-            SHARED_S, self._questions.pop, endpoint.id, None
+            RESULT_TTL_S, self._checks.pop, endpoint.id, None
         )
         if ended:
             self._on_ended(endpoint.id)
         return ended
 
-    async def _refuses(self, endpoint: model.Endpoint) -> bool:
+    async def _refuses_connections(self, endpoint: model.Endpoint) -> bool:
         try:
-            # The end of one that is idle may be on its way.
+            # A new connection, because an idle one may be closing already.
             connection = await self._connections.connect(endpoint)
         except errors.EndpointNotReachedError as error:
-            # All that run there need not find out one by one.
-            self._book.not_reached(endpoint.id, time.monotonic())
+            # Spares the other runs there from detecting this one by one.
+            self._book.note_unreachable(endpoint.id, time.monotonic())
             return isinstance(error.__cause__, errors.PortRefusedError)
         except errors.EndpointError:
             return False
--- a/martenjunction/routing/endpoint_runs.py
+++ b/martenjunction/routing/endpoint_runs.py
@@ -1,4 +1,4 @@
-"""The runs of one request at endpoints, one after the other."""
+"""Runs a request at endpoints and forwards the response."""
 
 import dataclasses
 import time
@@ -16,16 +16,16 @@
 from martenjunction.routing import endpoint_book
 from martenjunction.routing import offers
 
-# Statuses by which an endpoint's answer would promise that nothing ran.
-PROMISES = frozenset({408, 421, 429, 503})
+# Statuses that would tell the client that the request did not run.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
-# Why a request ends whose client is gone.
+# Reason logged for a request whose client disconnected.
 CLIENT_LEFT = "client-left"
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """An endpoint's whole answer that the client may get."""
+    """A complete response of an endpoint, ready for the client."""
 
     status: int
     headers: messages.Headers
@@ -33,7 +33,7 @@
 
 
 class EndpointRuns:
-    """Sends a request to endpoints and passes on what they answer."""
+    """Sends one request to endpoints and forwards their responses."""
 
     def __init__(
         self,
@@ -41,55 +41,58 @@
         connection: server_connection.ServerConnection,
         request: messages.Request,
         state: offers.RequestState,
-        taken: admission.Admission,
+        admitted: admission.Admission,
     ) -> None:
-        """Makes the runs of a request that was taken.
+        """Initializes the runs of an admitted request.
 
         Args:
-            tools: What exchanges share.
+            tools: The objects shared by all exchanges.
             connection: The client's connection.
-            request: The request, read in full.
-            state: How far it has got.
-            taken: How it was taken.
+            request: The complete request.
+            state: The progress of the request.
+            admitted: The admitted request.
         """
         self._tools = tools
         self._connection = connection
         self._request = request
         self._state = state
-        self._taken = taken
+        self._admitted = admitted
         self._running: attempt.Attempt | None = None
         self._ticket: endpoint_book.RunTicket | None = None
         self._fallback: Answer | None = None
 
     @property
     def ticket(self) -> endpoint_book.RunTicket | None:
-        """The run at an endpoint, or None."""
+        """The ticket of the current run, or None."""
         return self._ticket
 
     @property
     def fallback(self) -> Answer | None:
-        """An endpoint's failure that the client gets for want of better."""
+        """A failure response to deliver if no endpoint succeeds, or None."""
         return self._fallback
 
     @property
     def to_be_moved(self) -> bool:
-        """Whether it is to be taken from its endpoint."""
+        """Whether the request should be moved to another endpoint."""
         ticket = self._ticket
         if ticket is None:
             return False
-        # A silent endpoint may still be at work: only what may run twice is
-        # taken from it. One that started again is not.
-        return ticket.lost or (ticket.move and self._taken.route.repeatable)
+        # A silent endpoint may still be running the request, so only repeatable
+        # requests are moved from it. A restarted endpoint is not running it.
+        return ticket.endpoint_restarted or (
+            ticket.move_requested and self._admitted.route.repeatable
+        )
 
     @property
     def readable(self) -> bool:
-        """Whether bytes of the endpoint wait to be read."""
+        """Whether bytes from the endpoint are waiting to be read."""
         return self._running is not None and self._running.connection.readable
 
     def move(self) -> None:
-        """Takes the request from its endpoint; it may go to another one.
+        """Aborts the current run, so that another endpoint may be tried.
 
-        An endpoint whose bytes wait to be read is not silent and keeps it.
+        Does nothing if bytes are waiting to be read: the endpoint is not
+        silent.
         """
         if self._running is not None and not self.readable:
             self._running.abort()
@@ -100,15 +103,24 @@
         offer: offers.Offer,
         copies: headers.CopyPlan | None,
     ) -> bool:
-        """Sends the request to one endpoint; returns whether it is over.
+        """Runs the request at one endpoint.
+
+        Args:
+            demand: The resources that the request needs.
+            offer: The selected endpoint.
+            copies: Where the run's memory is copied to or resumed from.
+
+        Returns:
+            Whether the client has its final response.
 
         Raises:
-            ConnectionLostError: If the client left; nothing was sent.
+            ConnectionLostError: If the client disconnected; nothing was sent.
         """
         endpoint, run = offer.endpoint, offer.run
         if self._connection.closed:
-            # Its end is told a turn later: the run would be given up at once.
-            self._state.why = CLIENT_LEFT
+            # The close callback runs one loop iteration later and would abort
+            # the run right after it was sent.
+            self._state.failure = CLIENT_LEFT
             offer.permit.close()
             self._tools.grants.put_back(offer.grant)
             self._tools.pool.release(endpoint.id, run.connection)
@@ -119,28 +131,28 @@
         self._state.choices.append(endpoint_book.describe(offer.choice))
         failed = True
         try:
-            run.send(self._request, self._headers(endpoint, copies))
+            run.send(self._request, self._build_headers(endpoint, copies))
             self._state.progress.note(outcomes.Event.SENT)
-            done = await self._receive(offer, ticket)
-            failed = not done
-            return done
+            finished = await self._receive(offer, ticket)
+            failed = not finished
+            return finished
         except errors.EndpointNotReachedError:
             self._tools.grants.put_back(offer.grant)
             return False
         except errors.EndpointError as error:
-            self._state.why = f"{endpoint.id}: {error}"
-            # Only a run whose connection broke may go on from its copy: one
-            # that ended by itself must not run again.
-            self._state.cut_off = isinstance(
+            self._state.failure = f"{endpoint.id}: {error}"
+            # Only a run whose connection broke may resume from its copy; one
+            # that failed by itself must not run again.
+            self._state.connection_broken = isinstance(
                 error.__cause__, errors.TransportError
             )
             book.broken(endpoint.id, time.monotonic())
             self._state.progress.note(outcomes.Event.BROKEN)
-            if self._state.cut_off:
-                # Sent on at once, a request that ends what runs it would end
-                # the next endpoint as well, and so on.
+            if self._state.connection_broken:
+                # Checked before the retry: a request that crashes its endpoint
+                # would otherwise crash one endpoint after another.
                 offer.permit.broken(endpoint)
-                await self._tools.ends.ask(endpoint)
+                await self._tools.ends.check(endpoint)
             return False
         except BaseException:
             run.abort()
@@ -152,7 +164,7 @@
             offer.permit.close()
             self._tools.pool.release(endpoint.id, run.connection)
 
-    def _headers(
+    def _build_headers(
         self,
         endpoint: model.Endpoint,
         copies: headers.CopyPlan | None,
@@ -161,14 +173,14 @@
         framed = request.body or messages.header(
             request.headers, b"content-length"
         )
-        workspace = self._taken.workspace
+        workspace = self._admitted.workspace
         return headers.for_endpoint(
             request.headers,
             len(request.body) if framed else None,
-            self._taken.deadline - time.monotonic(),
+            self._admitted.deadline - time.monotonic(),
             endpoint.entry,
             None if workspace is None else workspace.name,
-            self._taken.urgency,
+            self._admitted.urgency,
             self._state.delivered_id,
             copies,
         )
@@ -185,15 +197,17 @@
             run.finish()
             self._state.refusals += 1
             self._state.progress.note(outcomes.Event.REFUSED)
-            self._tools.book.refused(endpoint.id, time.monotonic())
-            self._state.why = f"{endpoint.id}: refused with {head.status}"
+            self._tools.book.note_refusal(endpoint.id, time.monotonic())
+            self._state.failure = f"{endpoint.id}: refused with {head.status}"
             return False
         success = 200 <= head.status < 300
         if success and not headers.is_sealed(head):
             run.abort()
-            raise errors.EndpointBrokenError("a success without its seal")
-        if success and self._taken.route.kind is model.RouteKind.STREAM:
-            await self._pass_events(head, offer, ticket)
+            raise errors.EndpointBrokenError(
+                "successful response without a seal"
+            )
+        if success and self._admitted.route.kind is model.RouteKind.STREAM:
+            await self._forward_events(head, offer, ticket)
             return True
         body = await run.body()
         self._tools.book.heard(ticket, time.monotonic())
@@ -205,25 +219,25 @@
             await self.deliver(answer)
             return True
         self._state.progress.note(outcomes.Event.BROKEN)
-        self._state.why = f"{endpoint.id}: status {head.status}"
-        if head.status in PROMISES:
-            # It may have run, so the client must not read a promise.
+        self._state.failure = f"{endpoint.id}: status {head.status}"
+        if head.status in NOT_RUN_STATUSES:
+            # It may have run, so the status must not reach the client.
             return False
         if head.status < 500:
-            # The endpoint's last word: kept for want of a better one, it would
-            # never reach its client.
+            # Final: no other endpoint is tried, so it must be delivered now. A
+            # fallback would never reach the client.
             await self.deliver(answer)
             return True
         self._fallback = answer
         return False
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         head: messages.ResponseHead,
         offer: offers.Offer,
         ticket: endpoint_book.RunTicket,
     ) -> None:
-        """Passes a stream on, event by event."""
+        """Forwards a stream event by event."""
         run = offer.run
         pairs = headers.for_client(head.headers)
         async for events in run.events():
@@ -236,7 +250,7 @@
                     head.status, pairs, self._tools.closing()
                 )
                 self._state.status = head.status
-            await self._write_new(events)
+            await self._write_undelivered(events)
         if not self._connection.answering:
             await self._connection.begin(
                 head.status, pairs, self._tools.closing()
@@ -247,12 +261,14 @@
         self._state.progress.note(outcomes.Event.COMPLETE)
         await self._connection.end()
 
-    async def _write_new(self, events: list[event_stream.StreamEvent]) -> None:
-        """Writes the events that the client does not have yet."""
+    async def _write_undelivered(
+        self, events: list[event_stream.StreamEvent]
+    ) -> None:
+        """Writes the events not yet delivered to the client."""
         fresh = []
         for event in events:
             if event.id is not None:
-                if _not_after(event.id, self._state.delivered_id):
+                if _is_delivered(event.id, self._state.delivered_id):
                     continue
                 self._state.delivered_id = event.id
             fresh.append(event.data)
@@ -260,15 +276,15 @@
             await self._connection.write(b"".join(fresh))
 
     async def deliver(self, answer: Answer) -> None:
-        """Gives the client an endpoint's whole answer."""
+        """Sends a complete response to the client."""
         self._state.status = answer.status
         await self._connection.answer(
             answer.status, answer.headers, answer.body, self._tools.closing()
         )
 
 
-def _not_after(event_id: str, delivered: str | None) -> bool:
-    """Returns whether an event is one that the client already has."""
+def _is_delivered(event_id: str, delivered: str | None) -> bool:
+    """Returns whether an event was already delivered."""
     if delivered is None:
         return False
     if event_id.isdigit() and delivered.isdigit():
--- a/martenjunction/routing/offers.py
+++ b/martenjunction/routing/offers.py
@@ -1,4 +1,4 @@
-"""Which endpoints one request is offered to, one after the other."""
+"""Selects the endpoints that a request is sent to, one at a time."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,44 +28,45 @@
 from martenjunction.routing import request_content
 from martenjunction.routing import suspects
 
-# Endpoints that one request is offered to, refusals and failed connections
-# included.
+# Maximum number of endpoints tried per request, including refusals and failed
+# connections.
 MAX_OFFERS = 4
 
-# Seconds from a run's first event after which a copy of it is taken to be at
-# its second engine: copies are sent some times a second. A run sent there
-# before its copy would be a second run.
-COPY_AGE_S = 0.75
+# Time, in seconds, from the first event of a run after which its copy is
+# assumed to be at the second engine; copies are sent several times a second. A
+# run sent there before its copy arrived would run a second time.
+MIN_COPY_AGE_S = 0.75
 
-# Bytes of a prompt's memory up to which a run is copied: moving larger ones
-# costs more than their copies bring back.
-MOST_COPIED_BYTES = 60_000_000
+# Maximum size, in bytes, of the prompt memory of a run that is copied. Larger
+# copies cost more than they save.
+MAX_COPIED_BYTES = 60_000_000
 
-# Least time, in seconds, for which it is worth sending a request.
-LEAST_TIME_S = 0.01
+# Minimum time before the deadline, in seconds, for sending a request.
+MIN_TIME_LEFT_S = 0.01
 
 
 @dataclasses.dataclass(frozen=True)
 class Tools:
-    """What exchanges share.
+    """The objects shared by all exchanges.
 
     Attributes:
-        admitter: Judges requests.
-        book: Knows the endpoints.
-        pool: Holds the connections to them.
-        budget: Grants repeats.
-        deadlines: Tells requests that come back from new ones.
-        log: Told of outcomes.
+        admitter: Admits requests.
+        book: The endpoint registry.
+        pool: The endpoint connection pool.
+        budget: The retry budget.
+        deadlines: Distinguishes requests of retrying clients from new ones.
+        log: The decision log.
         metrics: Counts outcomes.
         zone: The box's availability zone.
-        leaving_for_s: Returns for how many seconds the box is being stopped,
-            or None if it is not.
-        stop_limit_s: Seconds after which a planned stop ends what still runs.
-        contents: Tells requests that are sent again from others.
-        suspects: Knows requests under which endpoints ended.
-        ends: Finds out whether endpoints have ended.
-        grants: Gates requests to endpoints that name a limit.
-        precedence: Knows which tiers go first there.
+        stopping_for_s: Returns the seconds since a planned stop began, or None
+            if there is none.
+        stop_limit_s: Seconds after which a planned stop ends the remaining
+            requests.
+        content_keys: Computes the content keys that identify resent requests.
+        suspects: Quarantines requests that crash endpoints.
+        ends: Checks whether endpoints crashed.
+        grants: Grants requests to endpoints with a rate limit.
+        precedence: Decides which tiers go first at those endpoints.
     """
 
     admitter: admission.Admitter
@@ -76,40 +77,40 @@
     log: decision_log.DecisionLog
     metrics: metrics.Metrics
     zone: str
-    leaving_for_s: Callable[[], float | None]
+    stopping_for_s: Callable[[], float | None]
     stop_limit_s: float
-    contents: request_content.ContentKeys
+    content_keys: request_content.ContentKeys
     suspects: suspects.Suspects
     ends: endpoint_ends.EndpointEnds
     grants: rate_grants.RateGrants
     precedence: tier_precedence.TierPrecedence
 
     def closing(self) -> bool:
-        """Returns whether connections end with their answer."""
-        return self.leaving_for_s() is not None
+        """Returns whether connections close after their response."""
+        return self.stopping_for_s() is not None
 
 
 @dataclasses.dataclass(slots=True)
 class RequestState:
-    """How far one request has got.
+    """The progress of one request.
 
     Attributes:
-        id: The request's id.
-        received_at: Steady clock when its head was complete.
-        content: Its caller and what it asks for.
-        came_back: Whether it was refused before.
-        progress: What may be said of it.
-        offers: Ids of the endpoints that it was offered to.
-        choices: What each endpoint was chosen from, for the log.
-        refusals: Endpoints that said that they did not run it.
-        got_no_grant: Whether an endpoint that names a limit took no more.
-        cut_off: Whether the connection of its last run broke.
-        delivered_id: Id of the last event that the client has, or None.
-        first_at: When its first event came, or None.
-        last_at: When its last event came.
-        longest_pause_s: The longest pause between its events.
-        status: The status that the client got; 0 before that.
-        why: Why it failed, for the log; empty if it did not.
+        id: The request id.
+        received_at: Steady-clock time when the head was complete.
+        content: The content key.
+        came_back: Whether this is a retry of a refused request.
+        progress: Whether and how far the request has run.
+        offers: Ids of the endpoints tried.
+        choices: The inputs of each endpoint selection, for the log.
+        refusals: The number of endpoints that reported not running it.
+        grant_denied: Whether an endpoint's rate limit left no grant for it.
+        connection_broken: Whether the connection of the last run broke.
+        delivered_id: Id of the last event sent to the client, or None.
+        first_event_at: When the first event was received, or None.
+        last_event_at: When the last event was received.
+        longest_pause_s: The longest pause between events, in seconds.
+        status: The status sent to the client; 0 before that.
+        failure: The reason for a failure, for the log; empty if there is none.
     """
 
     id: str
@@ -122,36 +123,36 @@
     offers: list[str] = dataclasses.field(default_factory=list)
     choices: list[dict[str, Any]] = dataclasses.field(default_factory=list)
     refusals: int = 0
-    got_no_grant: bool = False
-    cut_off: bool = False
+    grant_denied: bool = False
+    connection_broken: bool = False
     delivered_id: str | None = None
-    first_at: float | None = None
-    last_at: float = 0.0
+    first_event_at: float | None = None
+    last_event_at: float = 0.0
     longest_pause_s: float = 0.0
     status: int = 0
-    why: str = ""
+    failure: str = ""
 
     def note_events(self, now: float) -> None:
-        """Notes that events of its stream came."""
-        if self.first_at is None:
-            self.first_at = now
+        """Records that stream events were received."""
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            pause = now - self.last_at
+            pause = now - self.last_event_at
             self.longest_pause_s = max(self.longest_pause_s, pause)
-        self.last_at = now
+        self.last_event_at = now
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Offer:
-    """An endpoint that may get the request, and a way to it.
+    """A selected endpoint with a connection that is ready to send.
 
     Attributes:
         endpoint: The endpoint.
-        choice: What it was chosen from.
-        run: The attempt there, not sent yet.
-        permit: Says that the request may run, and keeps account of it.
-        grant: Part of the endpoint's limit that the request takes.
-        continues: Whether a run goes on there from a copy of its memory.
+        choice: The selection data.
+        run: The attempt, not sent yet.
+        permit: Permits the run and records its result.
+        grant: The share of the endpoint's rate limit for this request.
+        continues: Whether a run resumes there from a copy of its memory.
     """
 
     endpoint: model.Endpoint
@@ -163,43 +164,43 @@
 
 
 class Offers:
-    """Chooses the endpoints of one request, within what it allows."""
+    """Selects endpoints for one request within its limits."""
 
     def __init__(
         self,
         tools: Tools,
-        taken: admission.Admission,
+        admitted: admission.Admission,
         demand: endpoint_records.Demand,
         state: RequestState,
     ) -> None:
-        """Makes the offers of a request that was taken.
+        """Initializes the selection for an admitted request.
 
         Args:
-            tools: What exchanges share.
-            taken: How it was taken.
-            demand: What it asks of an endpoint.
-            state: How far it has got.
+            tools: The objects shared by all exchanges.
+            admitted: The admitted request.
+            demand: The resources that it needs.
+            state: Its progress.
         """
         self._tools = tools
-        self._taken = taken
+        self._admitted = admitted
         self._demand = demand
         self._state = state
         self._avoid: set[str] = set()
-        self._copy: model.Endpoint | None = None
+        self._copy_endpoint: model.Endpoint | None = None
         self._repeat_granted = False
-        self._asked = False
+        self._demand_noted = False
 
-    def sent_to(self, endpoint_id: str) -> None:
-        """Notes that the request goes to an endpoint, which gets it once."""
+    def note_sent(self, endpoint_id: str) -> None:
+        """Records that the request is sent to an endpoint, at most once."""
         self._state.offers.append(endpoint_id)
         self._avoid.add(endpoint_id)
         self._repeat_granted = False
 
     async def next(self) -> Offer | None:
-        """Returns an endpoint that may get the request, and a way to it.
+        """Returns the next endpoint, with a connection, or None.
 
         Raises:
-            RefusalError: If no endpoint may get it, and none did.
+            RefusalError: If the request may not be sent and never ran.
         """
         while True:
             permit = await self._permit()
@@ -207,67 +208,69 @@
                 return None
             offer = None
             try:
-                offer = await self._find(permit)
+                offer = await self._select_endpoint(permit)
             finally:
                 if offer is None:
                     permit.close()
             if offer is None or permit.stands():
                 return offer
-            # An endpoint ended under it meanwhile.
+            # In the meantime, an endpoint crashed while running this request.
             permit.close()
             self._tools.grants.put_back(offer.grant)
             self._tools.pool.release(offer.endpoint.id, offer.run.connection)
 
     async def _permit(self) -> permits.Permit | None:
-        """Returns leave to send the request; None if it may run no more.
+        """Returns a permit to send the request; None if it may not run again.
 
         Raises:
-            RefusalError: If it may not be sent, and never ran.
+            RefusalError: If the request may not be sent and never ran.
         """
         try:
             return await self._tools.suspects.permit(
-                self._state.content, self._taken.service, self._taken.deadline
+                self._state.content,
+                self._admitted.service,
+                self._admitted.deadline,
             )
         except admission.RefusalError as refusal:
             if self._state.progress.outcome is outcomes.Outcome.NOT_RUN:
                 raise
-            self._state.why = refusal.code
+            self._state.failure = refusal.code
             return None
 
-    async def _find(self, permit: permits.Permit) -> Offer | None:
-        if self._state.cut_off and self._may_continue():
+    async def _select_endpoint(self, permit: permits.Permit) -> Offer | None:
+        if self._state.connection_broken and self._may_continue():
             return await self._continue_at_copy(permit)
-        barred = permit.avoided()
+        excluded = permit.excluded_ids()
         while self._may_offer():
             now = time.monotonic()
             chosen = self._tools.book.choose(
-                self._taken.service,
+                self._admitted.service,
                 self._demand,
-                self._avoid | barred,
+                self._avoid | excluded,
                 now,
                 permit.apart,
             )
             if chosen is None:
                 return None
             endpoint, choice = chosen
-            if choice.record.limited and self._is_held_back(now):
+            if choice.record.limited and self._should_yield(now):
                 self._avoid.update(self._tools.book.limits.limited())
                 continue
             if not self._state.offers and self._demand.is_engine:
-                self._note_asked(choice, now)
+                self._note_prefill_demand(choice, now)
                 self._shed_if_late(choice, now)
             try:
                 connection = await self._tools.pool.acquire(
-                    endpoint, self._taken.route.repeatable
+                    endpoint, self._admitted.route.repeatable
                 )
             except errors.EndpointBusyError as error:
-                self._state.why = f"{endpoint.id}: {error}"
+                self._state.failure = f"{endpoint.id}: {error}"
                 self._avoid.add(endpoint.id)
                 continue
             except errors.EndpointNotReachedError:
                 self._state.offers.append(endpoint.id)
                 self._avoid.add(endpoint.id)
-                self._tools.book.not_reached(endpoint.id, time.monotonic())
+                self._tools.book.note_unreachable(endpoint.id, time.monotonic())
                 continue
             grant = await self._grant(endpoint, connection)
             if grant is None:
@@ -277,19 +280,21 @@
             return Offer(endpoint, choice, run, permit, grant)
         return None
 
-    def _is_held_back(self, now: float) -> bool:
-        """Returns whether higher tiers go first where grants are scarce."""
-        if not self._state.got_no_grant:
-            self._state.got_no_grant = self._tools.precedence.holds_back(
-                self._taken.service.name, self._taken.route.tier, now
+    def _should_yield(self, now: float) -> bool:
+        """Returns whether rate-limited endpoints are left to higher tiers."""
+        if not self._state.grant_denied:
+            self._state.grant_denied = self._tools.precedence.holds_back(
+                self._admitted.service.name, self._admitted.route.tier, now
             )
-            return self._state.got_no_grant
+            return self._state.grant_denied
         return False
 
-    def _note_asked(self, choice: endpoint_choice.Choice, now: float) -> None:
-        """Counts the prompt, once however many endpoints do not take it."""
-        if not self._asked:
-            self._asked = True
+    def _note_prefill_demand(
+        self, choice: endpoint_choice.Choice, now: float
+    ) -> None:
+        """Records the prefill demand, once per request."""
+        if not self._demand_noted:
+            self._demand_noted = True
             self._tools.book.engines.note_asked(
                 self._demand.service, choice.unread, self._demand.is_long, now
             )
@@ -297,16 +302,16 @@
     async def _grant(
         self, endpoint: model.Endpoint, connection: client.ClientConnection
     ) -> rate_grants.RateGrant | None:
-        """Returns a grant to send the request, else lets the connection go.
+        """Returns a grant to send the request, or releases the connection.
 
-        What the endpoint said of itself while the connection was made, or the
-        grant was asked for, must not be passed over.
+        Checks the endpoint again: it may have announced a back-off, a rate
+        limit or its shutdown while the connection or the grant was pending.
         """
         grant = None
         try:
             grant = await self._tools.grants.take(endpoint.id)
             if grant is None:
-                self._state.got_no_grant = True
+                self._state.grant_denied = True
             elif self._tools.book.accepts(endpoint.id, time.monotonic()):
                 return grant
             else:
@@ -318,34 +323,39 @@
         return None
 
     def _may_continue(self) -> bool:
-        """Returns whether a copy of the run's memory may still be used."""
-        if self._copy is None or self._state.first_at is None:
+        """Returns whether the run can resume from the copy of its memory."""
+        if self._copy_endpoint is None or self._state.first_event_at is None:
             return False
-        if self._state.last_at - self._state.first_at < COPY_AGE_S:
+        if (
+            self._state.last_event_at - self._state.first_event_at
+            < MIN_COPY_AGE_S
+        ):
             return False
-        return self._tools.book.accepts(self._copy.id, time.monotonic())
+        return self._tools.book.accepts(
+            self._copy_endpoint.id, time.monotonic()
+        )
 
     async def _continue_at_copy(self, permit: permits.Permit) -> Offer | None:
-        """Returns the endpoint with a copy of the run, if it can be reached.
+        """Returns the endpoint holding the copy of the run, if reachable.
 
-        The run goes on there from its memory, so it is still the same run,
-        also where the request may not be repeated.
+        Resuming from the copied memory continues the same run, so it is also
+        allowed for requests that may not be repeated.
         """
-        endpoint = self._copy
+        endpoint = self._copy_endpoint
         assert endpoint is not None
-        self._copy = None
+        self._copy_endpoint = None
         now = time.monotonic()
-        if self._taken.deadline - now < LEAST_TIME_S:
+        if self._admitted.deadline - now < MIN_TIME_LEFT_S:
             return None
-        if not self._tools.budget.take(self._taken.service.name, now):
+        if not self._tools.budget.take(self._admitted.service.name, now):
             return None
         choice = self._tools.book.weigh(
-            endpoint, self._taken.service, self._demand, now
+            endpoint, self._admitted.service, self._demand, now
         )
         try:
             connection = await self._tools.pool.acquire(endpoint, False)
         except errors.EndpointError as error:
-            self._state.why = f"{endpoint.id}: {error}"
+            self._state.failure = f"{endpoint.id}: {error}"
             return None
         grant = await self._grant(endpoint, connection)
         if grant is None:
@@ -354,50 +364,50 @@
         return Offer(endpoint, choice, run, permit, grant, continues=True)
 
     def plan_copy(self, offer: Offer) -> headers.CopyPlan | None:
-        """Decides where the run's memory is copied to or comes from."""
+        """Returns where the run's memory is copied to or resumed from."""
         if offer.continues:
             return headers.CopyPlan(copied_at=offer.endpoint.address)
-        engine = self._taken.service.engine
+        engine = self._admitted.service.engine
         if (
             engine is None
             or not engine.keeps_copies
-            or self._taken.route.repeatable
-            or self._taken.route.kind is not model.RouteKind.STREAM
+            or self._admitted.route.repeatable
+            or self._admitted.route.kind is not model.RouteKind.STREAM
             or self._demand.is_long
             or self._demand.prompt_tokens * engine.cache_token_bytes
-            > MOST_COPIED_BYTES
+            > MAX_COPIED_BYTES
         ):
             return None
         now = time.monotonic()
-        # A run could not go on at once where a grant has to be waited for.
+        # At a rate-limited endpoint the run would have to wait for a grant.
         limited = set(self._tools.book.limits.limited())
         chosen = self._tools.book.choose(
-            self._taken.service, self._demand, self._avoid | limited, now
+            self._admitted.service, self._demand, self._avoid | limited, now
         )
         if chosen is None:
             return None
-        self._copy = chosen[0]
-        return headers.CopyPlan(copy_to=self._copy.address)
+        self._copy_endpoint = chosen[0]
+        return headers.CopyPlan(copy_to=self._copy_endpoint.address)
 
     def _shed_if_late(
         self,
         choice: endpoint_choice.Choice,
         now: float,
     ) -> None:
-        """Refuses a request that would come late while others wait.
+        """Sheds a request whose predicted latency is too high.
 
         Raises:
-            RefusalError: If it is refused; nothing was sent for it.
+            RefusalError: If the request is shed; nothing was sent.
         """
         if self._tools.book.serves_lower_tiers(
-            self._taken.service, self._demand.urgency, now
+            self._admitted.service, self._demand.urgency, now
         ):
-            # Those give way to it at the endpoints: it is not refused while
-            # they are taken.
+            # Endpoints serve it before the lower tiers, so it is not shed
+            # while those are admitted.
             return
         prospect = shedding.Prospect(
             choice.predicted_s + now - self._state.received_at,
-            self._taken.route.target_s,
+            self._admitted.route.target_s,
             self._state.came_back,
             choice.busy,
         )
@@ -405,29 +415,30 @@
         if pause is not None:
             self._state.choices.append(endpoint_book.describe(choice))
             raise admission.RefusalError(
-                503, "shed", "the answer would come late", pause
+                503, "shed", "the predicted latency exceeds the target", pause
             )
 
     def _may_offer(self) -> bool:
         if len(self._state.offers) >= MAX_OFFERS:
             return False
-        if self._taken.deadline - time.monotonic() < LEAST_TIME_S:
+        if self._admitted.deadline - time.monotonic() < MIN_TIME_LEFT_S:
             return False
         runs = self._state.progress.attempts - self._state.refusals
-        if runs >= self._taken.route.max_attempts:
+        if runs >= self._admitted.route.max_attempts:
             return False
-        if runs and not self._taken.route.repeatable:
+        if runs and not self._admitted.route.repeatable:
             return False
         if not self._tools.admitter.still_allowed(
-            self._taken, self._state.received_at, time.monotonic()
+            self._admitted, self._state.received_at, time.monotonic()
         ):
-            self._state.why = "no-longer-allowed"
+            self._state.failure = "no-longer-allowed"
             return False
         if self._state.progress.attempts == 0:
             return True
         if not self._repeat_granted:
-            # Once for what is sent, however many endpoints do not take it.
+            # Charged once per retry that is sent, however many endpoints
+            # were unavailable before it.
             self._repeat_granted = self._tools.budget.take(
-                self._taken.service.name, time.monotonic()
+                self._admitted.service.name, time.monotonic()
             )
         return self._repeat_granted
--- a/tests/test_gateway_engines.py
+++ b/tests/test_gateway_engines.py
@@ -1,4 +1,4 @@
-"""What boxes learn of engines and of each other, over the whole path."""
+"""End-to-end tests of learned engine profiles and of box listings."""
 
 import asyncio
 import contextlib
@@ -19,35 +19,35 @@
 PROMPT_TOKENS = 500
 
 
-async def test_boxes_tell_each_other_what_they_learnt() -> None:
+async def test_boxes_share_learned_engine_profiles() -> None:
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=2)
     first, second = (box.book.engines for box in made.gateways)
     for _ in range(engine_figures.ENOUGH_READS):
-        first.note_read(builders.ENGINE, 9_000, 0.265)
+        first.note_prefill_time(builders.ENGINE, 9_000, 0.265)
     for _ in range(engine_figures.ENOUGH_BLOCKS * engine_figures.BLOCK_PAUSES):
-        first.note_paused(builders.ENGINE, 0.061)
+        first.note_token_pause(builders.ENGINE, 0.061)
     first.note_asked(
         builders.ENGINE, 30_000, True, made.gateways[0].timers.now()
     )
 
-    def told() -> bool:
+    def is_reported() -> bool:
         figures = second.figures(builders.ENGINE)
         now = made.gateways[1].timers.now()
         asked = second.asked(builders.ENGINE, now).long
         return figures.reading_token_s == pytest.approx(0.061) and asked > 0
 
-    await boxes.until(told)
+    await boxes.until(is_reported)
     rate = second.figures(builders.ENGINE).prefill_tokens_per_s
     assert rate == pytest.approx(36_000, rel=0.01)
     await made.stop()
 
 
-def test_rows_of_another_box_are_taken_as_they_were_told() -> None:
+def test_reports_of_another_box_are_applied_unchanged() -> None:
     one = service_engines.ServiceEngines(_NoLog())  # type: ignore[arg-type]
     other = service_engines.ServiceEngines(_NoLog())  # type: ignore[arg-type]
     for _ in range(engine_figures.ENOUGH_READS):
-        one.note_read("s", 9_000, 0.265)
+        one.note_prefill_time("s", 9_000, 0.265)
     one.note_asked("s", 3_000, False, 10.0)
     one.settle(10.0)
     other.take_peer("b", one.rows(10.0), 10.0)
@@ -66,14 +66,14 @@
 async def test_run_is_copied_only_where_moving_its_memory_is_cheap(
     fleet: boxes.Boxes, dear: bool
 ) -> None:
-    # Symptom: copies of runs cost 0.011 of a calm day on which no engine was
-    # lost, and 0.014 of days with losses, more than they brought back. Cause:
-    # whether a run is copied did not depend on how much memory it takes.
+    # Guards against copying runs regardless of their memory size: the copies
+    # cost 0.011 of a day without engine failures and 0.014 of days with
+    # failures, more than they saved.
     config = builders.config_document(9)
     engine = config["services"][1]["engine"]
     engine["backups"] = True
-    most = offers.MOST_COPIED_BYTES // PROMPT_TOKENS
-    engine["kv_bytes"] = most + 1 if dear else most
+    limit = offers.MAX_COPIED_BYTES // PROMPT_TOKENS
+    engine["kv_bytes"] = limit + 1 if dear else limit
     fleet.configure(config)
     made = await requests.engines(fleet)
     await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
@@ -86,8 +86,8 @@
 async def test_stream_that_broke_off_is_logged_as_failed(
     fleet: boxes.Boxes,
 ) -> None:
-    # Symptom: streams cut in the middle of their answer stood in the log among
-    # the served ones. Cause: the status alone decided, and it was sent before.
+    # Guards against logging streams that broke off as served: the status is
+    # sent before the stream breaks, so it alone does not show the outcome.
     lines: list[str] = []
     log = fleet.gateways[0].log
     write = log.write
@@ -107,9 +107,9 @@
     assert lines == ["request-failed"]
 
 
-async def test_box_bears_lists_of_boxes_that_are_old() -> None:
-    # All boxes start at once, so a list that may be old lacks most of them and
-    # the box's own entry, which is not to be written again for that.
+async def test_stale_box_lists_are_tolerated() -> None:
+    # When all boxes start at once, a stale listing lacks most of them and the
+    # box's own entry, which must not be rewritten because of that.
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=1)
     store = made.store
