--- a/martenjunction/cells/broker.py
+++ b/martenjunction/cells/broker.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side: which cell is asked, and who owns it now."""
+"""The entry daemon's client of cells: choice, ownership and retries."""
 
 from collections.abc import Callable
 import dataclasses
@@ -20,13 +20,13 @@
 # Sends a message to the owner of a cell; returns whether it could be sent.
 SendToOwner = Callable[[str, messages.FromEntry], bool]
 
-# Returns the boxes that may own a cell, the best first, unreachable ones left
-# out; this box is always among them.
+# Returns the candidate owners of a cell, best first, without unreachable boxes.
+# This box is always included.
 Owners = Callable[[directory.CellInfo], list[str]]
 
 
 class TicketState(enum.Enum):
-    """Where a request stands with its cell."""
+    """States of a request at its cell."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -34,11 +34,11 @@
 
 
 class NoCellError(errors.MartenjunctionError):
-    """No endpoint of the service is configured."""
+    """Raised if no endpoint of the service is configured."""
 
 
 class StopReason(enum.StrEnum):
-    """Why this daemon itself ends a request or a run."""
+    """Reasons for which the entry daemon itself ends a request or run."""
 
     CALLER_LEFT = "caller-left"
     TIME_LIMIT = "time-limit"
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stopped:
-    """The request has to stop waiting for its cell."""
+    """The request must stop waiting for its cell."""
 
     reason: StopReason
 
@@ -57,10 +57,10 @@
 
 
 class Ticket:
-    """One request's standing with the cell it was sent to.
+    """The state of one request at the cell it was sent to.
 
-    The relay waits on `verdicts`; the broker fills it, and calls
-    `on_preempted` when a running request has to give its place up.
+    The broker puts results into `verdicts`, which the relay awaits, and calls
+    `on_preempted` when a running request is preempted.
     """
 
     def __init__(
@@ -78,7 +78,13 @@
 
 @dataclasses.dataclass(slots=True)
 class BrokerCounts:
-    """What a broker did since it started."""
+    """Counters of a broker.
+
+    Attributes:
+        asked: Requests sent to cells.
+        moved: Requests moved to a new owner or cell.
+        returned: Stale grants returned to their owners.
+    """
 
     asked: int = 0
     moved: int = 0
@@ -86,7 +92,7 @@
 
 
 class Broker:
-    """Places this box's requests with the owners of cells."""
+    """Requests slots from the owners of cells for this box's requests."""
 
     def __init__(
         self,
@@ -97,15 +103,15 @@
         send: SendToOwner,
         rng: random.Random | None = None,
     ) -> None:
-        """Makes a broker that knows no cells yet.
+        """Initializes the broker without cells.
 
         Args:
             box: This box.
             zone: Its availability zone.
-            clock: Tells the time.
-            owners: Tells who may own a cell.
+            clock: Returns the time.
+            owners: Returns the candidate owners of a cell.
             send: Sends messages to owners.
-            rng: Draws the two cells that are compared.
+            rng: Selects the two cells that are compared.
         """
         self._box = box
         self._timers = clock
@@ -127,28 +133,28 @@
 
     @property
     def counts(self) -> BrokerCounts:
-        """What it did since it started."""
+        """Counters since the broker was created."""
         return self._counts
 
     @property
     def tickets(self) -> dict[str, Ticket]:
-        """Requests with a cell, by id, to be read only."""
+        """Active requests by ID. Callers must not modify it."""
         return self._tickets
 
     @property
     def cells(self) -> dict[str, directory.CellInfo]:
-        """The cells it knows, by name, to be read only."""
+        """The known cells by name. Callers must not modify it."""
         return self._cells
 
     @property
     def owners_now(self) -> dict[str, str]:
-        """The owner that is used for each cell in use."""
+        """The current owner of each cell in use."""
         return dict(self._owner_now)
 
     def set_cells(self, cells: dict[str, directory.CellInfo]) -> None:
-        """Takes in a new layout of cells.
+        """Applies a new layout of cells.
 
-        Requests whose cell is gone are announced to another one.
+        Requests whose cell no longer exists are moved to another one.
         """
         self._cells = cells
         self._choice.set_cells(cells.values())
@@ -169,7 +175,7 @@
 
         Args:
             ask: The request, with times on this box's clock.
-            service: The service it needs.
+            service: The requested service.
 
         Raises:
             NoCellError: If the service has no endpoint.
@@ -185,7 +191,7 @@
         return ticket
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Gives a waiting request up, or a place that was not used."""
+        """Withdraws a waiting request or returns an unused slot."""
         if ticket.state is TicketState.OVER:
             return
         self._close(ticket)
@@ -193,7 +199,7 @@
         self._say(ticket, message)
 
     def first_token(self, ticket: Ticket, seconds: float) -> None:
-        """Tells the cell that the first token came."""
+        """Notifies the cell of the first token."""
         self._say(
             ticket,
             messages.FirstToken(
@@ -202,7 +208,7 @@
         )
 
     def ended(self, ticket: Ticket, end: asks.RunEnd) -> None:
-        """Gives a place back and tells the cell how the run ended."""
+        """Releases a slot and notifies the cell of how the run ended."""
         if ticket.state is TicketState.OVER:
             return
         self._close(ticket)
@@ -222,14 +228,15 @@
         )
 
     def receive(self, sender: str, message: messages.FromOwner) -> None:
-        """Takes in what the owner of a cell says."""
+        """Processes a message from the owner of a cell."""
         self._handlers[type(message)](sender, message)
 
     def reassign(self) -> None:
-        """Moves requests to new owners where the owner has changed.
+        """Moves requests to the new owners of their cells.
 
-        What waits keeps its original arrival, and what runs keeps its place:
-        the new owner rebuilds its queue and its accounts from this.
+        Waiting requests keep their arrival time and running ones keep their
+        slots. The new owner rebuilds its queues and slot counts from these
+        messages.
         """
         changed = set()
         for name, known in list(self._owner_now.items()):
@@ -246,7 +253,7 @@
                 self._move(ticket)
 
     def delay(self, cell: str, tier: int) -> float | None:
-        """Returns the delay that a cell last predicted, or None."""
+        """Returns a cell's latest predicted delay in seconds, or None."""
         return self._choice.delay(cell, tier)
 
     # Owners.
@@ -261,13 +268,12 @@
     def _first_owner(self, cell: directory.CellInfo) -> str:
         return next(iter(self._owners(cell)), self._box)
 
-    # Speaking to owners.
+    # Messages to owners.
 
     def _say(self, ticket: Ticket, message: messages.FromEntry) -> None:
         if not self._send(ticket.owner, message):
-            # The next round of `reassign` finds another owner and announces
-            # the request there.
-            logger.debug("%s cannot be reached", ticket.owner)
+            # The next call of `reassign` moves the request to another owner.
+            logger.debug("cell owner %s cannot be reached", ticket.owner)
 
     def _ask_message(self, ticket: Ticket) -> messages.AskPlace:
         return messages.from_ask(
@@ -287,7 +293,7 @@
         self._say(ticket, message)
 
     def _rehome(self, ticket: Ticket) -> None:
-        """Finds the cell that has a request's endpoint now, or another."""
+        """Moves a request to the cell that contains its endpoint, or any."""
         cells = self._choice.of_service(ticket.cell.service)
         fit = [c for c in cells if ticket.endpoint in c.endpoints] or cells
         if not fit:
@@ -301,14 +307,14 @@
         if self._tickets.get(ticket.ask.request_id) is ticket:
             del self._tickets[ticket.ask.request_id]
 
-    # Hearing from owners.
+    # Messages from owners.
 
     def _on_granted(self, sender: str, message: messages.PlaceGranted) -> None:
         ticket = self._ticket_of(
             sender, message.request_id, TicketState.WAITING
         )
         if ticket is None or ticket.cell.name != message.cell:
-            # Granted by a former owner, or to a request that is over.
+            # Granted by a previous owner, or to a request that has ended.
             self._counts.returned += 1
             back = messages.Withdraw(message.cell, message.request_id)
             self._send(sender, back)
@@ -338,7 +344,7 @@
     def _ticket_of(
         self, sender: str, request_id: str, state: TicketState
     ) -> Ticket | None:
-        """Returns the ticket that the sender owns in a state, or None."""
+        """Returns the ticket if owned by the sender and in the given state."""
         ticket = self._tickets.get(request_id)
         if ticket is None or ticket.owner != sender:
             return None
--- a/martenjunction/cells/cell.py
+++ b/martenjunction/cells/cell.py
@@ -1,4 +1,4 @@
-"""The task that owns one cell: its queue, its grants and its endpoints."""
+"""The task that runs the dispatcher of one cell."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 STEP_INTERVAL = 0.02
 REVIEW_INTERVAL = 0.2
 
-# Seconds for which the places of an entry daemon that went silent are kept.
+# Seconds for which the slots of an unresponsive entry daemon are kept.
 LOST_ENTRY_GRACE = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FromBox:
-    """A message with the box it came from."""
+    """A message from an entry daemon and the box that sent it."""
 
     entry: str
     message: messages.FromEntry
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointSeen:
-    """What the lists say of one endpoint."""
+    """An endpoint as listed by its service."""
 
     name: str
     slots: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """All endpoints of the cell, as listed now."""
+    """The complete list of the cell's endpoints."""
 
     endpoints: tuple[EndpointSeen, ...]
 
@@ -55,7 +55,7 @@
 
     Attributes:
         endpoint: The endpoint.
-        age: Seconds since the report was true.
+        age: Seconds since the measurement.
         running: Requests in its batch.
         waiting: Requests in its own queue.
     """
@@ -68,21 +68,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointSilent:
-    """An endpoint could not be reached when it was asked for its load."""
+    """An endpoint that could not be reached to query its load."""
 
     endpoint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryLost:
-    """An entry daemon is believed dead."""
+    """An entry daemon that is considered dead."""
 
     entry: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StepNow:
-    """Time has passed."""
+    """A periodic tick."""
 
 
 Input = (
@@ -96,7 +96,7 @@
 
 
 class CellTask:
-    """Owns one cell's dispatcher; all that reaches it are messages."""
+    """Runs one cell's dispatcher and processes its messages in order."""
 
     def __init__(
         self,
@@ -105,12 +105,12 @@
         clock: timers.Timers,
         send: SendToEntry,
     ) -> None:
-        """Makes the task; `start` runs it.
+        """Initializes the task, which `start` runs.
 
         Args:
             name: The cell.
-            decider: Decides who gets which place.
-            clock: Tells the time and wakes the task.
+            decider: The cell's dispatcher.
+            clock: Returns the time and schedules the periodic tick.
             send: Sends a message to an entry daemon.
         """
         self._name = name
@@ -145,19 +145,19 @@
 
     @property
     def decider(self) -> dispatcher.Dispatcher:
-        """The dispatcher, to be read only."""
+        """The dispatcher. Callers must not modify it."""
         return self._decider
 
     def put(self, message: Input) -> None:
-        """Hands the task a message.
+        """Enqueues a message.
 
         Raises:
-            MailboxFullError: If the task does not keep up.
+            MailboxFullError: If the backlog is full.
         """
         self._mailbox.put(message)
 
     def start(self) -> None:
-        """Runs the task in the event loop."""
+        """Starts the task in the event loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
         self._subscriptions.append(
             self._timers.subscribe(
@@ -168,13 +168,13 @@
         )
 
     def _tick(self) -> None:
-        """Wakes the task, often only while somebody waits."""
+        """Wakes the task, less often while no request waits."""
         due = self._timers.now() - self._reviewed >= REVIEW_INTERVAL
         if due or self._decider.waiting:
             self.put(StepNow())
 
     async def stop(self) -> None:
-        """Ends the task; nobody is told."""
+        """Stops the task without notifying entry daemons."""
         for subscription in self._subscriptions:
             subscription.cancel()
         if self._task is not None:
@@ -182,7 +182,7 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def summary(self) -> messages.Summary:
-        """Returns what entry daemons are told of the cell."""
+        """Returns the cell's summary for entry daemons."""
         summary = self._decider.summary(self._timers.now())
         return messages.from_summary(self._name, summary)
 
@@ -194,7 +194,9 @@
                 try:
                     self._handlers[type(message)](message, now)
                 except Exception:
-                    logger.exception("cell %s: message failed", self._name)
+                    logger.exception(
+                        "cell %s: failed to process a message", self._name
+                    )
             self._deliver(self._decider.step(now))
 
     def _deliver(self, decisions: list[asks.Decision]) -> None:
@@ -225,7 +227,7 @@
     ) -> None:
         if self._decider.withdraw(message.request_id):
             return
-        # The grant crossed the withdrawal; the place was never used.
+        # The grant and the withdrawal crossed; the slot was never used.
         run = self._decider.run(message.request_id)
         if run is not None and run.ask.entry == entry:
             end = asks.RunEnd(message.request_id, asks.Ending.CANCELLED)
--- a/martenjunction/cells/cell_choice.py
+++ b/martenjunction/cells/cell_choice.py
@@ -1,4 +1,4 @@
-"""Which cell a request is sent to: what cells said, near, preferred."""
+"""Chooses the cell of a request by predicted delay, zone and policy."""
 
 from collections.abc import Iterable
 import random
@@ -8,25 +8,25 @@
 from martenjunction.cells import messages
 from martenjunction.decisions.cells import asks
 
-# Seconds after which what a cell said of itself no longer counts.
+# Seconds after which a cell's summary expires.
 SUMMARY_LIFETIME = 6.0
 
-# Seconds that a cell against the policy's preference seems further away.
+# Penalty in seconds for a cell outside the policies' preferred zones.
 AGAINST_POLICY = 2.0
 
 
 class CellChoice:
-    """The cells of each service, and what they last said of themselves."""
+    """The cells of each service and their latest summaries."""
 
     def __init__(
         self, zone: str, clock: timers.Timers, rng: random.Random
     ) -> None:
-        """Makes a choice of no cells.
+        """Initializes the choice without cells.
 
         Args:
             zone: The availability zone of this box.
-            clock: Tells the time.
-            rng: Draws the two cells that are compared.
+            clock: Returns the time.
+            rng: Selects the two cells that are compared.
         """
         self._zone = zone
         self._timers = clock
@@ -35,7 +35,7 @@
         self._summaries: dict[str, tuple[float, messages.Summary]] = {}
 
     def set_cells(self, cells: Iterable[directory.CellInfo]) -> None:
-        """Takes in a new layout of cells."""
+        """Replaces the layout of cells."""
         self._by_service = {}
         for cell in cells:
             self._by_service.setdefault(cell.service, []).append(cell)
@@ -45,15 +45,15 @@
         return self._by_service.get(service, [])
 
     def take_summary(self, summary: messages.Summary) -> None:
-        """Takes in what a cell says of itself."""
+        """Stores a cell's summary."""
         self._summaries[summary.cell] = (self._timers.now(), summary)
 
     def forget_summary(self, cell: str) -> None:
-        """Forgets what a cell said under another owner."""
+        """Drops the summary that a cell's previous owner sent."""
         self._summaries.pop(cell, None)
 
     def delay(self, cell: str, tier: int) -> float | None:
-        """Returns the delay that a cell last predicted, or None."""
+        """Returns a cell's latest predicted delay in seconds, or None."""
         entry = self._summaries.get(cell)
         if entry is None:
             return None
@@ -66,7 +66,7 @@
         return summary.delay_ms[index] / 1000
 
     def choose(self, ask: asks.Ask, service: str) -> directory.CellInfo | None:
-        """Takes the better of two cells, the first of them a near one.
+        """Returns the better of two random cells, the first from a near one.
 
         Returns:
             A cell, or None if the service has none.
--- a/martenjunction/cells/directory.py
+++ b/martenjunction/cells/directory.py
@@ -1,4 +1,4 @@
-"""Which cells there are, what is in them, and who owns them."""
+"""Layout of endpoints into cells, and ownership of cells."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -10,12 +10,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CellInfo:
-    """One cell: endpoints of one service, near to one another.
+    """A cell, which groups nearby endpoints of one service.
 
     Attributes:
         name: `service/place/index`.
         service: The service.
-        place: The region or the availability zone that it spans.
+        place: The region or availability zone that it spans.
         endpoints: Names of its endpoints.
     """
 
@@ -29,16 +29,16 @@
 
 
 def cells_of(config: fleet.FleetConfig) -> Cells:
-    """Lays all endpoints out into cells.
+    """Assigns all endpoints to cells.
 
-    An endpoint's cell depends on its own name and its service's settings
-    only, so that it stays where it is when others come and go.
+    An endpoint's cell depends only on its own name and zone and its service's
+    settings, so it does not change when other endpoints are added or removed.
     """
     return Layout().update(config)
 
 
 class Layout:
-    """The cells of a configuration, kept up to date as endpoints change."""
+    """The cells of a configuration, updated incrementally."""
 
     def __init__(self) -> None:
         self._services: dict[str, fleet.Service] = {}
@@ -54,10 +54,10 @@
         self._infos = {}
 
     def update(self, config: fleet.FleetConfig) -> Cells:
-        """Takes in a configuration; returns its cells by name.
+        """Applies a configuration; returns its cells by name.
 
-        Only the cells of endpoints that are not the same object as before
-        are made anew.
+        Only cells with added, removed or replaced endpoints are rebuilt.
+        Endpoints are compared by identity.
         """
         if config.service is not self._services:
             self._forget()
@@ -117,16 +117,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BoxPlace:
-    """A box that may own cells, and where it stands."""
+    """A candidate owner of cells and its availability zone."""
 
     box: str
     zone: str
 
 
 def owner_ranking(cell: CellInfo, boxes: Iterable[BoxPlace]) -> list[str]:
-    """Returns the boxes that may own a cell, the best first.
+    """Returns the candidate owners of a cell, best first.
 
-    Boxes in the place that the cell spans come before all others.
+    Boxes in the region or zone that the cell spans precede all others.
     """
     near: list[str] = []
     far: list[str] = []
@@ -141,7 +141,7 @@
 def region_of(zone: str) -> str:
     """Returns the region of an availability zone written `region/zone`.
 
-    Zones written without a region all belong to the same one.
+    Zones without a region belong to the region `home`.
     """
     region, slash, _ = zone.partition("/")
     return region if slash else HOME_REGION
@@ -151,20 +151,20 @@
 
 
 def is_within(zone: str, place: str) -> bool:
-    """Returns whether a zone is a place, or lies in it."""
+    """Returns whether a zone equals a place or lies in it."""
     return place in (zone, region_of(zone))
 
 
-# What it costs to cross zones and regions, in seconds, when cells are chosen.
+# Cost in seconds of crossing zones and regions, used when choosing cells.
 OTHER_ZONE = 0.005
 OTHER_REGION = 0.1
 
 
 def distance(zone: str, place: str) -> float:
-    """Returns the price, in seconds, of using another place.
+    """Returns the cost in seconds of using a place from a zone.
 
     Args:
-        zone: The availability zone where one is.
+        zone: The availability zone of the sender.
         place: An availability zone or a region.
     """
     if is_within(zone, place):
--- a/martenjunction/cells/host.py
+++ b/martenjunction/cells/host.py
@@ -1,4 +1,4 @@
-"""Runs the cells that this box owns, or is asked to act for."""
+"""Runs the cells that this box owns or receives messages for."""
 
 from collections.abc import Callable
 import logging
@@ -15,17 +15,17 @@
 
 MakeDispatcher = Callable[[], dispatcher.Dispatcher]
 
-# Seconds after which a cell that is no longer ours and holds nothing ends.
+# Seconds after which an idle cell that this box no longer owns is stopped.
 IDLE_LIFETIME = 10.0
 
 
 def new_dispatcher() -> dispatcher.Dispatcher:
-    """Makes the dispatcher of a cell with its usual settings."""
+    """Returns a dispatcher with the default settings."""
     return dispatcher.Dispatcher(dispatcher.DispatchSettings())
 
 
 class CellHost:
-    """The cells of one box."""
+    """Runs the cells of one box."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         send: cell.SendToEntry,
         make: MakeDispatcher,
     ) -> None:
-        """Makes a host without cells.
+        """Initializes the host without cells.
 
         Args:
-            clock: Tells the time.
+            clock: Returns the time.
             send: Sends messages to entry daemons.
-            make: Makes the dispatcher of a cell.
+            make: Creates the dispatcher of a cell.
         """
         self._timers = clock
         self._send = send
@@ -52,7 +52,7 @@
 
     @property
     def tasks(self) -> dict[str, cell.CellTask]:
-        """The running cells by name, to be read only."""
+        """The running cells by name. Callers must not modify it."""
         return self._tasks
 
     def set_layout(
@@ -61,7 +61,7 @@
         endpoints: dict[str, fleet.Endpoint],
         leaving: frozenset[str],
     ) -> None:
-        """Takes in which endpoints there are, and which are leaving."""
+        """Applies a new layout of cells, endpoints and leaving endpoints."""
         self._layout = layout
         self._endpoints = endpoints
         self._leaving = leaving
@@ -69,7 +69,7 @@
             task.put(self._listing(name))
 
     async def set_owned(self, owned: frozenset[str]) -> None:
-        """Starts cells that are ours now and ends idle ones that are not."""
+        """Starts the owned cells and stops idle cells that are not owned."""
         self._owned = owned
         for name in owned:
             self._task(name)
@@ -85,32 +85,32 @@
                 await task.stop()
 
     def receive(self, entry: str, message: messages.FromEntry) -> None:
-        """Hands a message of an entry daemon to its cell."""
+        """Dispatches a message of an entry daemon to its cell."""
         task = self._task(messages.cell_of(message))
         try:
             task.put(cell.FromBox(entry, message))
         except mailbox.MailboxFullError:
-            logger.warning("cell %s does not keep up", task.name)
+            logger.warning("cell %s: backlog full, message dropped", task.name)
 
     def report(
         self, endpoint: str, age: float, running: int, waiting: int
     ) -> None:
-        """Hands an endpoint's load report to the cells that hold it."""
+        """Dispatches an endpoint's load report to the cells that contain it."""
         self._put_for(
             endpoint, cell.EndpointReported(endpoint, age, running, waiting)
         )
 
     def silent(self, endpoint: str) -> None:
-        """Notes that an endpoint cannot be reached."""
+        """Reports an unreachable endpoint to the cells that contain it."""
         self._put_for(endpoint, cell.EndpointSilent(endpoint))
 
     def entry_lost(self, entry: str) -> None:
-        """Notes that an entry daemon is believed dead."""
+        """Reports an entry daemon that is considered dead to all cells."""
         for task in self._tasks.values():
             task.put(cell.EntryLost(entry))
 
     def polled_endpoints(self) -> list[fleet.Endpoint]:
-        """Returns the endpoints of the cells that run here."""
+        """Returns the endpoints of the running cells."""
         names = [
             endpoint
             for name in self._tasks
@@ -122,7 +122,7 @@
         ]
 
     def summaries(self) -> list[messages.Summary]:
-        """Returns what entry daemons are told of the cells we own."""
+        """Returns the summaries of the owned cells."""
         return [
             task.summary()
             for name, task in self._tasks.items()
@@ -130,7 +130,7 @@
         ]
 
     async def stop(self) -> None:
-        """Ends all cells."""
+        """Stops all cells."""
         for task in list(self._tasks.values()):
             await task.stop()
         self._tasks.clear()
--- a/martenjunction/cells/messages.py
+++ b/martenjunction/cells/messages.py
@@ -1,6 +1,6 @@
-"""What entry daemons and the owners of cells say to one another.
+"""Messages between entry daemons and the owners of cells.
 
-Times travel as ages, in seconds, since no two boxes share a clock.
+Times are sent as ages in seconds, since boxes have no common clock.
 """
 
 import dataclasses
@@ -13,11 +13,11 @@
 @codec.message("ask")
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskPlace:
-    """An entry daemon asks a cell for a place.
+    """An entry daemon requests a slot from a cell.
 
     Attributes:
         cell: The cell.
-        age: Seconds since the caller's request came in.
+        age: Seconds since the caller's request arrived.
     """
 
     cell: str
@@ -41,11 +41,11 @@
 @codec.message("running")
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnnounceRun:
-    """An entry daemon tells a new owner of a run that holds a place.
+    """An entry daemon announces a run to a new owner of its cell.
 
     Attributes:
-        ask: What was granted.
-        endpoint: Where it runs.
+        ask: The granted request.
+        endpoint: The endpoint that runs it.
         running: Seconds since it was granted.
     """
 
@@ -57,7 +57,7 @@
 @codec.message("withdraw")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdraw:
-    """An entry daemon no longer wants a place."""
+    """An entry daemon withdraws a request or returns an unused slot."""
 
     cell: str
     request_id: str
@@ -66,7 +66,11 @@
 @codec.message("first-token")
 @dataclasses.dataclass(frozen=True, slots=True)
 class FirstToken:
-    """A run's first token came, so many seconds after its grant."""
+    """A run's first token was received.
+
+    Attributes:
+        seconds: Time from grant to first token.
+    """
 
     cell: str
     request_id: str
@@ -76,7 +80,7 @@
 @codec.message("run-end")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A run gave its place back."""
+    """A run ended and released its slot."""
 
     cell: str
     request_id: str
@@ -92,7 +96,7 @@
 @codec.message("grant")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceGranted:
-    """The owner gives a request a place."""
+    """The owner grants a request a slot."""
 
     cell: str
     request_id: str
@@ -102,7 +106,7 @@
 @codec.message("shed")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestShed:
-    """The owner gives a waiting request up."""
+    """The owner sheds a waiting request."""
 
     cell: str
     request_id: str
@@ -113,7 +117,7 @@
 @codec.message("preempt")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunPreempted:
-    """The owner wants a place back for a higher tier."""
+    """The owner preempts a run in favor of a higher tier."""
 
     cell: str
     request_id: str
@@ -123,12 +127,12 @@
 @codec.message("summary")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """The state of one cell, for those who choose between cells.
+    """A summary of a cell's state, used to choose between cells.
 
     Attributes:
         cell: The cell.
-        free: Places free now.
-        delay_ms: Predicted milliseconds of waiting by tier, the highest
+        free: Number of free slots.
+        delay_ms: Predicted queueing delay in milliseconds by tier, highest
             first.
     """
 
@@ -142,18 +146,18 @@
 
 
 def cell_of(message: FromEntry) -> str:
-    """Returns the cell that a message is for."""
+    """Returns the cell that a message is addressed to."""
     if isinstance(message, AnnounceRun):
         return message.ask.cell
     return message.cell
 
 
 def to_ask(message: AskPlace, entry: str, now: float) -> asks.Ask:
-    """Turns a message into what the dispatcher takes.
+    """Converts a message to a dispatcher request.
 
     Args:
         message: The message.
-        entry: The box that sent it.
+        entry: The sending box.
         now: The current time on the owner's clock.
     """
     return asks.Ask(
@@ -177,7 +181,7 @@
 
 
 def from_ask(ask: asks.Ask, cell: str, now: float) -> AskPlace:
-    """Turns an entry daemon's ask into a message."""
+    """Converts a dispatcher request to a message."""
     return AskPlace(
         cell=cell,
         request_id=ask.request_id,
@@ -199,7 +203,7 @@
 
 
 def to_run_end(message: RunEnded) -> asks.RunEnd:
-    """Turns a message into what the dispatcher takes."""
+    """Converts a message to a dispatcher run end."""
     return asks.RunEnd(
         request_id=message.request_id,
         ending=asks.Ending(message.ending),
@@ -213,7 +217,7 @@
 
 
 def from_decision(cell: str, decision: asks.Decision) -> FromOwner:
-    """Turns a dispatcher's decision into a message to an entry daemon."""
+    """Converts a dispatcher's decision to a message to an entry daemon."""
     if isinstance(decision, asks.Grant):
         return PlaceGranted(cell, decision.request_id, decision.endpoint)
     if isinstance(decision, asks.Shed):
@@ -224,6 +228,6 @@
 
 
 def from_summary(cell: str, summary: dispatcher.CellSummary) -> Summary:
-    """Turns a dispatcher's summary into a message."""
+    """Converts a dispatcher's summary to a message."""
     delay_ms = tuple(round(seconds * 1000) for seconds in summary.delay)
     return Summary(cell, summary.free, delay_ms)
--- a/martenjunction/cells/summaries.py
+++ b/martenjunction/cells/summaries.py
@@ -1,14 +1,15 @@
-"""Decides when a cell's summary is worth sending again."""
+"""Throttles the sending of cell summaries."""
 
 import dataclasses
 
 from martenjunction.cells import messages
 
-# Seconds after which a summary is sent again though nothing changed; entry
-# daemons forget one after somewhat longer.
+# Seconds after which an unchanged summary is sent again. Must be shorter than
+# `cell_choice.SUMMARY_LIFETIME`, after which entry daemons drop it.
 REFRESH = 4.0
 
-# A predicted delay has changed when it moved by this part and by so much.
+# Minimum change of a predicted delay, as a fraction and in milliseconds, for a
+# summary to be sent; both must be exceeded.
 CHANGE_PART = 0.25
 CHANGE_MS = 20
 
@@ -20,7 +21,7 @@
 
 
 class SummaryGate:
-    """Remembers what was sent last of each cell."""
+    """Selects the summaries that changed since they were last sent."""
 
     def __init__(self) -> None:
         self._sent: dict[str, _Sent] = {}
@@ -28,14 +29,14 @@
     def pass_on(
         self, summaries: list[messages.Summary], now: float
     ) -> list[messages.Summary]:
-        """Returns the summaries that have to be sent now."""
+        """Returns the summaries that are due and marks them as sent."""
         due = [s for s in summaries if self._is_due(s, now)]
         for summary in due:
             self._sent[summary.cell] = _Sent(now, summary)
         return due
 
     def forget(self) -> None:
-        """Sends everything again, since somebody new listens."""
+        """Makes all summaries due again, for a new receiver."""
         self._sent.clear()
 
     def _is_due(self, summary: messages.Summary, now: float) -> bool:
--- a/martenjunction/claims/__init__.py
+++ b/martenjunction/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps requests with an idempotency key from running twice."""
+"""Prevents requests with an idempotency key from running twice."""
--- a/martenjunction/claims/keeper.py
+++ b/martenjunction/claims/keeper.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side of claims, and the shards that this box owns."""
+"""Claims idempotency keys and hosts the claim shards of this box."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,8 @@
 
 SHARDS = 64
 
-# Seconds that a claim may take before the request is given up, not run.
+# Timeout of a claim in seconds, and the retry time sent to the caller when the
+# claim is unavailable.
 CLAIM_TIMEOUT = 5.0
 RETRY_AFTER = 5.0
 
@@ -29,7 +30,7 @@
 
 
 class ClaimKeeper:
-    """Claims keys for this box's requests, and owns some of the shards."""
+    """Claims keys for this box's requests and hosts its claim shards."""
 
     def __init__(
         self,
@@ -40,15 +41,15 @@
         send_answer: SendAnswer,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        """Makes a keeper that owns nothing yet.
+        """Initializes the keeper without shards.
 
         Args:
             box: This box.
-            platform: Keeps the claims; None for a daemon without a platform.
-            owner: Returns the box that owns a shard now.
-            send: Sends a claim or an ending to another box.
+            platform: Stores the claims; None for a daemon without a platform.
+            owner: Returns the current owner of a shard.
+            send: Sends a claim or its settlement to another box.
             send_answer: Sends an answer to another box.
-            wall_clock: Returns seconds since 1970.
+            wall_clock: Returns the Unix time in seconds.
         """
         self._box = box
         self._platform = platform
@@ -61,29 +62,29 @@
 
     @property
     def owned(self) -> dict[int, shards.ClaimShard]:
-        """The shards that were owned here, to be read only."""
+        """The shards hosted by this box. Callers must not modify it."""
         return self._shards
 
     async def claim(
         self, request: requests.RoutedRequest
     ) -> results.Result | None:
-        """Claims the key of a request before it is sent anywhere.
+        """Claims the key of a request before it is sent to an endpoint.
 
         Returns:
-            None if it may run, or how it ended.
+            None if the request may run, else its result.
         """
         state = await self._state(_claim_of(request))
         if state is messages.ClaimState.CLAIMED:
             return None
         if state is messages.ClaimState.UNAVAILABLE:
-            # The claim may stand all the same; it is taken back.
+            # The claim may have been stored nevertheless, so it is released.
             self.settle(request, outcomes.Outcome.NOT_RUN)
             if request.service_class.unclaimed_in_outage:
                 return None
             return results.Result(
                 outcomes.Outcome.NOT_RUN,
                 results.FailureCode.CLAIM_UNAVAILABLE,
-                "the key could not be claimed with the platform",
+                "the idempotency key could not be claimed on the platform",
                 RETRY_AFTER,
             )
         outcome, code, message = _REFUSALS[state]
@@ -92,7 +93,7 @@
     def settle(
         self, request: requests.RoutedRequest, outcome: outcomes.Outcome
     ) -> None:
-        """Notes how a request that had a key ended."""
+        """Settles the claim of a request that ended."""
         claim = _claim_of(request)
         ran = outcome is not outcomes.Outcome.NOT_RUN
         message = messages.Settle(claim.shard, claim.key, claim.request_id, ran)
@@ -105,7 +106,7 @@
     def receive(
         self, sender: str, message: messages.Claim | messages.Settle
     ) -> None:
-        """Takes in a claim or an ending as the owner of its shard."""
+        """Processes a claim or settlement as the owner of its shard."""
         answer: shards.Answer | None = None
         if isinstance(message, messages.Claim):
 
@@ -118,19 +119,19 @@
                 shard.put(message, answer)
                 return
             except mailbox.MailboxFullError:
-                logger.warning("claim shard %d is full", message.shard)
+                logger.warning("claim shard %d: backlog full", message.shard)
         if answer is not None:
             state = messages.ClaimState.UNAVAILABLE
             answer(messages.ClaimAnswer(message.request_id, state))
 
     def on_answer(self, answer: messages.ClaimAnswer) -> None:
-        """Takes in the answer to a claim of this box."""
+        """Processes the answer to a claim of this box."""
         waiting = self._waiting.get(answer.request_id)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer.state)
 
     async def stop(self) -> None:
-        """Writes what waits and ends all shards."""
+        """Flushes and stops all shards."""
         for shard in self._shards.values():
             await shard.stop()
 
@@ -175,16 +176,16 @@
     return messages.Claim(number, digest.hexdigest(), request.request_id)
 
 
-# What a caller is told who comes with a key that another request has.
+# Results for requests whose key is claimed by another request.
 _REFUSALS = {
     messages.ClaimState.IN_PROGRESS: (
         outcomes.Outcome.UNKNOWN,
         results.FailureCode.ALREADY_CLAIMED,
-        "a request with this key was taken in before; its end is not known",
+        "an earlier request with this key was accepted; its outcome is unknown",
     ),
     messages.ClaimState.RAN: (
         outcomes.Outcome.DONE,
         results.FailureCode.ALREADY_RAN,
-        "a request with this key already ran",
+        "a request with this idempotency key already ran",
     ),
 }
--- a/martenjunction/claims/messages.py
+++ b/martenjunction/claims/messages.py
@@ -1,4 +1,4 @@
-"""What entry daemons and the owners of claim shards say to one another."""
+"""Messages between entry daemons and the owners of claim shards."""
 
 import dataclasses
 import enum
@@ -7,11 +7,11 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of a key.
+    """States of a claim.
 
     Attributes:
-        CLAIMED: The asking request may run.
-        IN_PROGRESS: Another request has the key, and its end is not known.
+        CLAIMED: The claiming request may run.
+        IN_PROGRESS: Another request claimed the key; its outcome is unknown.
         RAN: Another request with the key ran.
         UNAVAILABLE: The platform did not confirm the claim.
     """
@@ -25,11 +25,11 @@
 @codec.message("claim")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """An entry daemon claims a key for a request.
+    """An entry daemon claims an idempotency key for a request.
 
     Attributes:
         shard: The shard of the key.
-        key: A digest of workspace and key.
+        key: A digest of the workspace and the idempotency key.
     """
 
     shard: int
@@ -49,10 +49,10 @@
 @codec.message("settle")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settle:
-    """An entry daemon tells how the request that had a key ended.
+    """An entry daemon settles the claim of a request that ended.
 
     Attributes:
-        ran: False only where it is certain that it did not run.
+        ran: False only if the request certainly did not run.
     """
 
     shard: int
--- a/martenjunction/claims/shards.py
+++ b/martenjunction/claims/shards.py
@@ -1,4 +1,4 @@
-"""The task that owns one shard of claims: many claims, one write."""
+"""The task that writes one shard of claims in batches."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,9 +17,9 @@
 
 KEY_PREFIX = "claims/"
 
-# Seconds that a batch gathers; seconds between two writes of a shard, so that
-# a flood of claims makes batches larger rather than writes more; and tries to
-# write one batch.
+# Seconds for which a batch is collected, minimum seconds between writes of a
+# shard, and maximum attempts to write a batch. The interval makes batches
+# larger, instead of writes more frequent, under a high rate of claims.
 GATHER = 0.02
 WRITE_INTERVAL = 0.25
 MAX_TRIES = 4
@@ -31,8 +31,9 @@
 class ClaimShard:
     """Writes a shard's claims to the platform, in batches.
 
-    Every write names the version it was made from, so that a paused owner
-    that wakes up, or a second owner, cannot overwrite what it has not seen.
+    Writes are conditional on the version they are based on, so that an owner
+    that resumes after a pause, or a second owner, cannot overwrite changes that
+    it has not read.
     """
 
     def __init__(
@@ -42,13 +43,13 @@
         wall_clock: Callable[[], float],
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Makes the task; `start` runs it.
+        """Initializes the task, which `start` runs.
 
         Args:
             number: The shard.
-            platform: Keeps the claims.
-            wall_clock: Returns seconds since 1970; only used to expire.
-            clock: Returns seconds that never go back; paces the writes.
+            platform: Stores the claims.
+            wall_clock: Returns the Unix time in seconds, for expiry.
+            clock: Returns monotonic seconds, for the write interval.
         """
         self._key = f"{KEY_PREFIX}{number}"
         self._platform = platform
@@ -66,28 +67,28 @@
 
     @property
     def writes(self) -> int:
-        """Writes that the platform confirmed."""
+        """Number of confirmed writes."""
         return self._writes
 
     @property
     def conflicts(self) -> int:
-        """Writes that met a version we had not seen."""
+        """Number of writes rejected because of a version conflict."""
         return self._conflicts
 
     def put(self, change: Change, answer: Answer | None = None) -> None:
-        """Hands the task a claim or an ending.
+        """Enqueues a claim or settlement.
 
         Raises:
-            MailboxFullError: If the task does not keep up.
+            MailboxFullError: If the backlog is full.
         """
         self._mailbox.put((change, answer))
 
     def start(self) -> None:
-        """Runs the task in the event loop."""
+        """Starts the task in the event loop."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Writes what waits, then ends the task."""
+        """Flushes the backlog, then stops the task."""
         if self._task is None:
             return
         while len(self._mailbox):
@@ -112,7 +113,7 @@
     async def _carry_out(
         self, changes: list[Change]
     ) -> dict[str, messages.ClaimState]:
-        """Returns the state of each claim, confirmed by the platform."""
+        """Writes the changes; returns the confirmed state of each claim."""
         for _ in range(MAX_TRIES):
             try:
                 states = await self._try(changes)
@@ -120,12 +121,12 @@
                 self._conflicts += 1
                 self._table = None
             except errors.PlatformUnavailableError:
-                # The write may have taken effect: read what stands there, and
-                # go on from that. A claim that is found with our request's id
-                # is ours.
+                # The write may have taken effect, so the table is reloaded. A
+                # claim stored with the same request ID counts as
+                # successful.
                 self._table = None
             except errors.PlatformError as error:
-                logger.warning("%s cannot be written: %s", self._key, error)
+                logger.warning("failed to write %s: %s", self._key, error)
                 break
             else:
                 return states
@@ -165,5 +166,5 @@
             return table.ClaimTable.from_value(value)
         except pydantic.ValidationError as error:
             raise errors.PlatformRefusedError(
-                f"{self._key} cannot be read"
+                f"stored value of {self._key} is invalid"
             ) from error
--- a/martenjunction/claims/table.py
+++ b/martenjunction/claims/table.py
@@ -1,4 +1,4 @@
-"""The claims of one shard, and what each change makes of them; pure."""
+"""The claim table of one shard, without I/O."""
 
 import dataclasses
 from typing import Any
@@ -7,22 +7,22 @@
 
 from martenjunction.claims import messages
 
-# Seconds for which a claim stands after it was last written.
+# Seconds after its last change at which a claim expires.
 LIFETIME = 24 * 3600.0
 
-# Claims that one shard holds: the platform takes values up to a megabyte, and
-# a claim takes about a hundred bytes.
+# Maximum claims per shard. The platform accepts values of up to 1 MB, and a
+# claim takes about 100 bytes.
 MAX_CLAIMS = 8_000
 
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One claimed key.
+    """A claimed key.
 
     Attributes:
-        request_id: The request that has it.
+        request_id: The request that claimed it.
         ran: Whether that request is known to have run.
-        expires: Wall-clock time, in seconds since 1970.
+        expires: Unix time of expiry in seconds.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
 
 
 class ClaimTable:
-    """All claims of one shard."""
+    """The claims of one shard by key."""
 
     def __init__(self, entries: dict[str, Entry] | None = None) -> None:
         self._entries = entries or {}
@@ -43,17 +43,17 @@
         return len(self._entries)
 
     def copy(self) -> "ClaimTable":
-        """Returns a table that can be changed without changing this one."""
+        """Returns an independent copy."""
         return ClaimTable(
             {key: dataclasses.replace(e) for key, e in self._entries.items()}
         )
 
     def claim(self, claim: messages.Claim, now: float) -> messages.ClaimState:
-        """Claims a key, unless another request has it.
+        """Claims a key unless another request has claimed it.
 
         Args:
             claim: The claim.
-            now: Wall-clock time, in seconds since 1970.
+            now: Unix time in seconds.
         """
         entry = self._entries.get(claim.key)
         if entry is None and len(self._entries) >= MAX_CLAIMS:
@@ -70,7 +70,7 @@
         return messages.ClaimState.IN_PROGRESS
 
     def settle(self, settle: messages.Settle, now: float) -> bool:
-        """Notes how a request ended; returns whether that changed anything."""
+        """Settles a claim; returns whether the table changed."""
         entry = self._entries.get(settle.key)
         if entry is None or entry.request_id != settle.request_id:
             return False
@@ -83,19 +83,19 @@
         return changed
 
     def expire(self, now: float) -> None:
-        """Forgets claims whose time has passed."""
+        """Removes expired claims."""
         for key in [k for k, e in self._entries.items() if e.expires <= now]:
             del self._entries[key]
 
     def as_value(self) -> dict[str, Any]:
-        """Returns the table in the form that the platform keeps."""
+        """Returns the table as a value to store on the platform."""
         return {k: dataclasses.asdict(e) for k, e in self._entries.items()}
 
     @staticmethod
     def from_value(value: Any) -> "ClaimTable":
-        """Reads a table that the platform kept.
+        """Returns the table of a value stored on the platform.
 
         Raises:
-            pydantic.ValidationError: If it is not one.
+            pydantic.ValidationError: If the value is invalid.
         """
         return ClaimTable(_ENTRIES.validate_python(value or {}))
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,11 +1,11 @@
-"""Builders of test data."""
+"""Builders for test data."""
 
 from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import dispatcher
 
 
 def ask(request_id: str = "r1", **changes: object) -> asks.Ask:
-    """Returns an ask of the highest tier that came at time 0."""
+    """Returns a request of the highest tier that arrived at time 0."""
     values: dict[str, object] = {
         "request_id": request_id,
         "entry": "box-1",
@@ -27,7 +27,7 @@
     slots: int = 1,
     settings: dispatcher.DispatchSettings | None = None,
 ) -> dispatcher.Dispatcher:
-    """Returns a dispatcher whose endpoints have been heard from."""
+    """Returns a dispatcher whose endpoints have reported their load."""
     made = dispatcher.Dispatcher(settings or dispatcher.DispatchSettings())
     for number in range(1, endpoints + 1):
         name = f"e{number}"
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side: choice of cells, moves and stale grants."""
+"""Tests of the broker: choice of cells, moves and stale grants."""
 
 import random
 
@@ -13,23 +13,23 @@
 
 
 class Fleet:
-    """Owners that can be changed, and what was said to them."""
+    """A broker with a changeable owner that records sent messages."""
 
     def __init__(self) -> None:
         self.owner = "box-2"
-        self.said: list[tuple[str, messages.FromEntry]] = []
+        self.sent: list[tuple[str, messages.FromEntry]] = []
         self.broker = broker.Broker(
             "box-1",
             "r/1",
             timers.Timers(lambda: 10.0),
             lambda cell: [self.owner],
-            self.say,
+            self.send,
             random.Random(1),
         )
         self.broker.set_cells(cells("s/r/0", "e1", "e2"))
 
-    def say(self, box: str, message: messages.FromEntry) -> bool:
-        self.said.append((box, message))
+    def send(self, box: str, message: messages.FromEntry) -> bool:
+        self.sent.append((box, message))
         return True
 
     def place(self) -> broker.Ticket:
@@ -49,27 +49,27 @@
     fleet.place()
     fleet.owner = "box-3"
     fleet.broker.reassign()
-    box, message = fleet.said[-1]
+    box, message = fleet.sent[-1]
     assert box == "box-3"
     assert isinstance(message, messages.AskPlace)
     assert message.firm
     assert message.age == 1.0
 
 
-def test_running_request_is_announced_with_its_place() -> None:
+def test_running_request_is_announced_with_its_endpoint() -> None:
     fleet = Fleet()
     fleet.place()
     fleet.grant("box-2")
     fleet.owner = "box-3"
     fleet.broker.reassign()
-    box, message = fleet.said[-1]
+    box, message = fleet.sent[-1]
     assert box == "box-3"
     assert isinstance(message, messages.AnnounceRun)
     assert message.endpoint == "e1"
 
 
 @pytest.mark.parametrize("sender", ["box-2", "box-3"])
-def test_grant_that_nobody_waits_for_is_given_back(sender: str) -> None:
+def test_stale_grant_is_returned(sender: str) -> None:
     fleet = Fleet()
     ticket = fleet.place()
     fleet.owner = "box-3"
@@ -77,22 +77,22 @@
     fleet.grant("box-3")
     assert ticket.state is broker.TicketState.RUNNING
     fleet.grant(sender)
-    box, message = fleet.said[-1]
+    box, message = fleet.sent[-1]
     assert box == sender
     assert isinstance(message, messages.Withdraw)
     assert len(ticket.verdicts) == 1
 
 
-def test_request_whose_cell_is_gone_finds_its_endpoint_again() -> None:
+def test_request_of_a_removed_cell_moves_to_the_cell_of_its_endpoint() -> None:
     fleet = Fleet()
     ticket = fleet.place()
     fleet.grant("box-2")
     fleet.broker.set_cells(cells("s/r/1/0", "e1") | cells("s/r/2/0", "e2"))
     assert ticket.cell.name == "s/r/1/0"
-    assert isinstance(fleet.said[-1][1], messages.AnnounceRun)
+    assert isinstance(fleet.sent[-1][1], messages.AnnounceRun)
 
 
-def test_retry_takes_a_cell_whose_endpoints_did_not_fail_it() -> None:
+def test_retry_avoids_cells_whose_endpoints_failed() -> None:
     fleet = Fleet()
     fleet.broker.set_cells(cells("s/r/1/0", "e1") | cells("s/r/2/0", "e2"))
     for number in range(20):
@@ -101,7 +101,7 @@
         assert ticket.cell.name == "s/r/2/0"
 
 
-def test_cell_with_the_smaller_delay_is_taken() -> None:
+def test_cell_with_the_smaller_delay_is_chosen() -> None:
     fleet = Fleet()
     fleet.broker.set_cells(cells("s/r/1/0", "e1") | cells("s/r/2/0", "e2"))
     near = messages.Summary("s/r/1/0", 0, (5000, 5000, 5000, 5000))
@@ -110,17 +110,17 @@
         fleet.broker.place(builders.ask(f"r{n}"), "s").cell.name
         for n in range(40)
     ]
-    # The near one is drawn twice in about half of the cases.
+    # Both draws select the near cell in about half of the cases.
     assert 10 < taken.count("s/r/2/0") < 30
 
 
-def test_end_of_a_request_gives_its_place_back_once() -> None:
+def test_end_of_a_request_releases_its_slot_once() -> None:
     fleet = Fleet()
     ticket = fleet.place()
     fleet.grant("box-2")
     end = asks.RunEnd("r1", asks.Ending.COMPLETE)
     fleet.broker.ended(ticket, end)
     fleet.broker.ended(ticket, end)
-    ends = [m for _, m in fleet.said if isinstance(m, messages.RunEnded)]
+    ends = [m for _, m in fleet.sent if isinstance(m, messages.RunEnded)]
     assert len(ends) == 1
     assert not fleet.broker.tickets
--- a/tests/test_cell_limits.py
+++ b/tests/test_cell_limits.py
@@ -1,7 +1,8 @@
-"""Endpoints that name a limit to the product's own daemons.
+"""Tests of rate limits that endpoints announce to their cell's owner.
 
-The owner of a cell grants all runs at its endpoints, so the sum is its own;
-it read no limit, and granted a place as soon as one was free.
+Guards against an owner that ignores announced limits and grants every free
+slot at once. The owner grants all runs at its endpoints, so it alone must
+enforce the limit.
 """
 
 import time
@@ -29,16 +30,16 @@
     began: float,
     seconds: float,
 ) -> list[tuple[float, str]]:
-    """Keeps requests waiting in a cell, and answers its runs.
+    """Submits requests to a cell continuously and completes its runs.
 
     Args:
         cell: The cell.
-        limits: What each endpoint names.
-        began: When, in seconds.
-        seconds: For how long.
+        limits: The limit that each endpoint announces.
+        began: Start time in seconds.
+        seconds: Duration.
 
     Returns:
-        When each run was granted, and where.
+        The time and endpoint of each grant.
     """
     made: list[tuple[float, str]] = []
     running: list[tuple[float, str, str]] = []
@@ -77,14 +78,14 @@
     assert len(times(made, "e2")) > 10 * len(granted)
 
 
-def test_endpoint_whose_limit_ends_gets_its_work_again() -> None:
+def test_endpoint_whose_limit_is_removed_receives_requests_again() -> None:
     cell = builders.cell(endpoints=2, slots=4)
     play(cell, {"e1": 2.0, "e2": None}, 0.0, 8.0)
     made = play(cell, {"e1": None, "e2": None}, 8.0, 4.0)
     assert len([at for at in times(made, "e1") if at > 10.0]) > 20
 
 
-def test_limit_that_binds_nothing_is_none() -> None:
+def test_very_high_limit_is_ignored() -> None:
     cell = builders.cell(endpoints=1, slots=8)
     cell.submit(builders.ask("first"), 0.0)
     assert len(cell.step(0.0)) == 1
@@ -97,7 +98,7 @@
     assert len(cell.step(0.1)) == 8
 
 
-def test_run_that_was_granted_before_the_word_does_not_end_it() -> None:
+def test_response_to_an_older_run_does_not_remove_the_limit() -> None:
     cell = builders.cell(endpoints=1, slots=2)
     for name in ("long", "short"):
         cell.submit(builders.ask(name), 0.0)
@@ -114,22 +115,24 @@
 @pytest.mark.parametrize(
     ("value", "per_s"), [("2.1", 2.1), ("0", 0.0), ("many", None), (None, None)]
 )
-def test_head_tells_a_limit(value: str | None, per_s: float | None) -> None:
+def test_response_head_contains_the_limit(
+    value: str | None, per_s: float | None
+) -> None:
     pairs = [] if value is None else [(http_headers.LIMIT, value)]
     assert streams.ResponseHead(200, pairs).limit_per_s == per_s
 
 
-async def test_engine_that_takes_nearly_nothing_gets_little_from_all_callers(
+async def test_engine_with_a_very_low_limit_receives_few_requests(
     fleet: bench.Bench,
 ) -> None:
     limited, serving = fleet.outside.engines.values()
     limited.faults.limit = "0"
-    # So that the one that has little to do seems the better one.
+    # Makes the idle, limited engine the preferred one.
     serving.faults.slow = 5.0
     callers = await caller_builders.callers_of(fleet, 4)
     began = time.monotonic()
     await caller_builders.ask_in_rounds(callers, 8)
     windows = 1 + (time.monotonic() - began) / limit_outcome.WINDOW_S
-    # Those that were under way before its first word was heard, and the rest.
+    # Requests sent before its first response, and those allowed by the limit.
     most = len(callers) + windows * limit_outcome.allowed(0.0)
     assert 0 < limited.counts.started.total() <= most
--- a/tests/test_cell_rests.py
+++ b/tests/test_cell_rests.py
@@ -1,7 +1,8 @@
-"""Endpoints that ask the product's own daemons for rest.
+"""Tests of back-offs that endpoints request from their cell's owner.
 
-The cells' owners read a refusal as one more end of a run: the place of an
-endpoint that refuses at once came free at once, and was granted again.
+Guards against an owner that treats a refusal as an ordinary end of a run. The
+slot of an endpoint that refuses at once would then be free and granted again
+at once.
 """
 
 import pytest
@@ -36,8 +37,8 @@
     cell.ended(asks.RunEnd(request_id, REFUSED, rest_s=rest_s), now)
 
 
-def cell_that_rests(**changes: int) -> dispatcher.Dispatcher:
-    """Returns a cell whose first endpoint has asked for rest at 0."""
+def cell_in_backoff(**changes: int) -> dispatcher.Dispatcher:
+    """Returns a cell whose first endpoint requested a back-off at 0."""
     cell = builders.cell(**changes)
     cell.submit(builders.ask("first"), 0.0)
     assert grants(cell, 0.0) == [("first", "e1")]
@@ -45,8 +46,8 @@
     return cell
 
 
-def test_endpoint_that_rests_is_granted_to_nobody() -> None:
-    cell = cell_that_rests()
+def test_endpoint_in_backoff_receives_no_grants() -> None:
+    cell = cell_in_backoff()
     cell.submit(builders.ask("second"), 0.1)
     for now in (0.1, 1.0, REST_S - 0.01):
         cell.review(now)
@@ -55,15 +56,15 @@
     assert grants(cell, REST_S) == [("second", "e1")]
 
 
-def test_others_of_its_cell_are_granted() -> None:
-    cell = cell_that_rests(endpoints=2, slots=4)
+def test_other_endpoints_of_the_cell_are_granted() -> None:
+    cell = cell_in_backoff(endpoints=2, slots=4)
     for number in range(4):
         cell.submit(builders.ask(f"r{number}"), 0.1)
     assert {name for _, name in grants(cell, 0.1)} == {"e2"}
 
 
-def test_endpoint_returns_with_one_run_until_it_answers() -> None:
-    cell = cell_that_rests(slots=4)
+def test_endpoint_gets_one_run_after_a_backoff_until_it_answers() -> None:
+    cell = cell_in_backoff(slots=4)
     for number in range(4):
         cell.submit(builders.ask(f"r{number}"), 0.1)
     cell.review(REST_S)
@@ -72,16 +73,16 @@
     assert len(grants(cell, REST_S + 0.05)) == 3
 
 
-def test_request_that_cannot_outwait_the_rest_is_shed_at_once() -> None:
-    cell = cell_that_rests()
+def test_request_with_less_patience_than_the_backoff_is_shed_at_once() -> None:
+    cell = cell_in_backoff()
     [shed] = cell.submit(builders.ask("second", patience=1.0), 0.1)
     assert isinstance(shed, asks.Shed)
-    # Not before it would be taken, and spread over as much again.
+    # At least the excess of the back-off over the patience, plus jitter.
     assert REST_S - 1.0 <= shed.retry_after <= 2 * REST_S
     assert cell.submit(builders.ask("third", patience=9.0), 0.1) == []
 
 
-def test_endpoint_that_refuses_without_a_time_goes_after_others() -> None:
+def test_endpoint_that_refuses_without_a_backoff_is_deprioritized() -> None:
     cell = builders.cell(endpoints=2, slots=4)
     cell.submit(builders.ask("first"), 0.0)
     [(_, refused)] = grants(cell, 0.0)
@@ -90,7 +91,7 @@
     [(_, other)] = grants(cell, 0.01)
     assert other != refused
     refuse(cell, "second", 0.01, 0.0)
-    # It is a preference only.
+    # The pause is only a preference.
     cell.submit(builders.ask("third"), 0.02)
     assert len(grants(cell, 0.02)) == 1
 
@@ -99,7 +100,7 @@
     ("value", "rest_s"), [("3", 3.0), ("0.5", 0.5), ("soon", 0.0), (None, 0.0)]
 )
 @pytest.mark.parametrize("protocol", [engine_protocol, plain_protocol])
-def test_refusal_tells_the_rest(
+def test_refusal_contains_the_backoff(
     protocol: object, value: str | None, rest_s: float
 ) -> None:
     pairs = [(plain_protocol.RAN_HEADER, "no")]
@@ -111,16 +112,16 @@
     assert refusal.value.rest_s == rest_s
 
 
-async def test_engine_that_asks_for_rest_gets_it_from_all_callers(
+async def test_all_callers_respect_the_backoff_of_an_engine(
     fleet: bench.Bench,
 ) -> None:
     resting, serving = fleet.outside.engines.values()
     resting.faults.refuse = True
     resting.faults.rest_s = 60.0
-    # So that the one that refuses at once seems the better one.
+    # Makes the refusing engine the preferred one.
     serving.faults.slow = 5.0
     callers = await caller_builders.callers_of(fleet, 4)
     await caller_builders.ask_in_rounds(callers, 8)
-    # Those that were under way with the first that it refused.
+    # Requests in flight at its first refusal.
     assert 0 < resting.counts.refused <= len(callers)
     assert serving.counts.started.total() == 8 * len(callers)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: who may run, after crashes, lost replies and second owners."""
+"""Tests of claims with crashes, lost replies and concurrent owners."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -29,7 +29,7 @@
     assert held.claim(claim("k", "r2"), 3.0) == "ran"
 
 
-def test_a_request_that_was_not_run_gives_its_key_back() -> None:
+def test_a_request_that_did_not_run_releases_its_key() -> None:
     held = table.ClaimTable()
     held.claim(claim("k", "r1"), 0.0)
     assert not held.settle(settle("k", "r2", ran=False), 1.0)
@@ -37,13 +37,13 @@
     assert held.claim(claim("k", "r2"), 2.0) == "claimed"
 
 
-def test_claims_expire_after_their_lifetime() -> None:
+def test_claims_expire() -> None:
     held = table.ClaimTable()
     held.claim(claim("k", "r1"), 0.0)
     assert held.claim(claim("k", "r2"), table.LIFETIME + 1) == "claimed"
 
 
-def test_a_full_shard_claims_nothing_more() -> None:
+def test_a_full_shard_rejects_new_claims() -> None:
     held = table.ClaimTable()
     for number in range(table.MAX_CLAIMS):
         held.claim(claim(f"k{number}", "r"), 0.0)
@@ -90,7 +90,7 @@
         await shard.stop()
 
 
-async def test_many_claims_make_few_writes(
+async def test_many_claims_are_written_in_few_batches(
     stand_in: platform.Platform,
 ) -> None:
     shard = owner(stand_in)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's decisions, one rule at a time."""
+"""Tests of the dispatcher's rules."""
 
 from martenjunction.decisions import endpoint_states
 from martenjunction.decisions.cells import asks
@@ -25,7 +25,7 @@
     assert granted(cell.step(0.0)) == ["tight"]
 
 
-def test_past_hope_yields_but_is_finished() -> None:
+def test_late_request_yields_but_completes() -> None:
     cell = builders.cell()
     cell.submit(builders.ask("hopeless", arrived=-10.0), 0.0)
     cell.submit(builders.ask("hopeful"), 0.0)
@@ -56,7 +56,7 @@
     return order
 
 
-def test_lowest_tier_gets_its_share_behind_a_flood() -> None:
+def test_lowest_tier_gets_its_share_under_load() -> None:
     settings = dispatcher.DispatchSettings(
         tiers.TierSettings(share=0.1, longest_pause=1000.0)
     )
@@ -82,7 +82,7 @@
     assert granted(cell.step(2.1)) == ["low"]
 
 
-def test_shed_is_told_when_to_come_back() -> None:
+def test_shed_request_gets_a_retry_time() -> None:
     cell = builders.cell()
     cell.submit(builders.ask("first"), 0.0)
     cell.step(0.0)
@@ -94,7 +94,7 @@
     assert decisions[0].retry_after >= 1.0
 
 
-def test_past_hope_without_a_chance_is_shed_at_once() -> None:
+def test_late_request_that_cannot_be_granted_in_time_is_shed() -> None:
     cell = builders.cell()
     now = 0.0
     for number in range(40):
@@ -108,14 +108,14 @@
     for number in range(60):
         late = builders.ask(f"late{number}", arrived=now - 2, patience=12.0)
         assert cell.submit(late, now) == []
-    # The place is held far longer than it looked.
+    # The slot is occupied far longer than predicted.
     now += 5.0
     shed = [d.request_id for d in cell.review(now)]
     assert "late59" in shed
     assert "late0" not in shed
 
 
-def test_firm_request_is_not_shed() -> None:
+def test_request_exempt_from_shedding_is_not_shed() -> None:
     cell = builders.cell()
     for number in range(20):
         cell.submit(builders.ask(f"w{number}"), 0.0)
@@ -134,7 +134,7 @@
     assert [d.request_id for d in shed] == ["low2"]
 
 
-def test_highest_tier_has_the_same_bound_with_lower_ones_waiting() -> None:
+def test_limit_of_the_highest_tier_does_not_depend_on_lower_ones() -> None:
     alone = _accepted_high(low=0)
     crowded = _accepted_high(low=5)
     assert alone == crowded
@@ -150,7 +150,7 @@
     return sum(ask.tier == 1 for ask in cell.waiting_asks())
 
 
-def test_urgent_request_preempts_the_lowest_tier_that_lost_least() -> None:
+def test_urgent_request_preempts_the_newest_run_of_the_lowest_tier() -> None:
     cell = builders.cell(slots=3)
     for tier, at in ((2, 0.0), (4, 0.0), (4, 0.1)):
         name = f"t{tier}-{at}"
@@ -182,7 +182,7 @@
     assert cell.step(0.05) == []
 
 
-def test_run_that_a_tier_got_by_its_share_is_not_preempted() -> None:
+def test_run_granted_by_the_share_of_a_tier_is_not_preempted() -> None:
     settings = dispatcher.DispatchSettings(
         tiers.TierSettings(share=0.0, longest_pause=1.0)
     )
@@ -197,7 +197,7 @@
     assert cell.step(2.1) == []
 
 
-def test_leaving_endpoint_gets_nothing() -> None:
+def test_leaving_endpoint_gets_no_requests() -> None:
     cell = builders.cell(endpoints=2)
     cell.set_leaving("e1", 0.0)
     for number in range(3):
@@ -208,7 +208,7 @@
     ]
 
 
-def test_failed_endpoint_is_not_the_first_choice_again() -> None:
+def test_failed_endpoint_is_avoided() -> None:
     cell = builders.cell(endpoints=2, slots=4)
     cell.submit(builders.ask("again", avoid=frozenset({"e1"})), 0.0)
     grant = cell.step(0.0)[0]
@@ -216,7 +216,7 @@
     assert grant.endpoint == "e2"
 
 
-def test_slow_endpoint_is_ejected_though_its_reports_lie() -> None:
+def test_slow_endpoint_is_ejected_despite_reporting_no_load() -> None:
     cell = builders.cell(endpoints=3, slots=4)
     for number in range(12):
         cell.submit(builders.ask(f"r{number}"), 0.0)
@@ -245,7 +245,7 @@
     assert states.count(endpoint_states.EndpointState.EJECTED) == 1
 
 
-def test_ejected_endpoint_returns_by_a_trial() -> None:
+def test_ejected_endpoint_is_reinstated_by_a_probe() -> None:
     cell = builders.cell(endpoints=2, slots=2)
     cell.silent("e1", 0.0)
     assert cell.endpoints["e1"].free(1.0) == 0
@@ -259,7 +259,7 @@
     assert state is endpoint_states.EndpointState.ROUTING
 
 
-def test_unreachable_endpoint_returns_when_it_is_heard() -> None:
+def test_unreachable_endpoint_is_reinstated_by_a_load_report() -> None:
     cell = builders.cell(endpoints=2, slots=2)
     cell.silent("e1", 0.0)
     state = cell.endpoints["e1"].health.state
@@ -269,7 +269,7 @@
     assert state is endpoint_states.EndpointState.ROUTING
 
 
-def test_slow_endpoint_does_not_return_by_a_report() -> None:
+def test_slow_endpoint_is_not_reinstated_by_a_load_report() -> None:
     cell = builders.cell(endpoints=2, slots=2)
     health = cell.endpoints["e1"].health
     health.move(endpoint_states.EndpointEvent.OUTLIER, 0.0)
@@ -277,7 +277,7 @@
     assert health.state is endpoint_states.EndpointState.EJECTED
 
 
-def test_late_report_counts_only_what_others_run() -> None:
+def test_delayed_report_adds_only_runs_of_other_senders() -> None:
     cell = builders.cell(slots=4)
     cell.submit(builders.ask("ours"), 1.0)
     cell.step(1.0)
@@ -287,7 +287,7 @@
     assert cell.endpoints["e1"].busy == 3
 
 
-def test_adopted_runs_hold_their_places() -> None:
+def test_adopted_runs_occupy_their_slots() -> None:
     cell = builders.cell()
     cell.adopt(asks.Run(builders.ask("moved"), "e1", 0.0))
     cell.submit(builders.ask("next"), 0.0)
@@ -296,7 +296,7 @@
     assert granted(cell.step(0.1)) == ["next"]
 
 
-def test_lost_entry_gives_its_places_back() -> None:
+def test_slots_of_a_failed_entry_are_released() -> None:
     cell = builders.cell()
     cell.submit(builders.ask("gone", entry="box-9"), 0.0)
     cell.step(0.0)
@@ -305,7 +305,7 @@
     assert granted(cell.step(0.1)) == ["stays"]
 
 
-def test_unused_endpoint_is_tried_again() -> None:
+def test_estimate_of_an_idle_endpoint_decays() -> None:
     cell = builders.cell(endpoints=3, slots=2)
     cell.endpoints["e1"].speed.base_s.add(2.0)
     before = cell.endpoints["e1"].speed.base_s.value
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""A random cell, to which anything may happen in any order."""
+"""Property-based tests of a dispatcher with random sequences of events."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -23,7 +23,7 @@
 
 
 class CellMachine(stateful.RuleBasedStateMachine):
-    """Checks what must hold after every step, whatever comes."""
+    """Checks the dispatcher's invariants after every step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -100,7 +100,7 @@
 
     @stateful.rule()
     def change_owner(self) -> None:
-        """Another daemon takes the cell over from what entries announce."""
+        """A new owner rebuilds the cell from the entries' announcements."""
         self.cell = builders.cell(3, 2, SETTINGS)
         for name in self.leaving:
             self.cell.set_leaving(name, self.now)
@@ -120,35 +120,43 @@
                 self.on_preempt(decision)
 
     def on_grant(self, grant: asks.Grant) -> None:
-        assert grant.request_id in self.waiting, "granted twice or unasked"
-        assert grant.endpoint not in self.leaving, "a leaving endpoint"
+        assert grant.request_id in self.waiting, "granted twice or not waiting"
+        assert grant.endpoint not in self.leaving, (
+            "granted at a leaving endpoint"
+        )
         del self.waiting[grant.request_id]
         self.running[grant.request_id] = grant
 
     def on_shed(self, shed: asks.Shed) -> None:
-        assert shed.request_id in self.waiting, "shed what does not wait"
+        assert shed.request_id in self.waiting, (
+            "shed a request that is not waiting"
+        )
         tier = self.asks[shed.request_id].tier
         del self.waiting[shed.request_id]
         if shed.reason is asks.ShedReason.QUEUE_FULL:
             by_tier = [ask.tier for ask in self.waiting.values()]
             lower = [t for t in by_tier if t > tier]
-            # Of each lower tier only the protected oldest one may be left.
-            assert len(lower) == len(set(lower)), "shed for a lower tier"
+            # Only the oldest request of each lower tier may remain.
+            assert len(lower) == len(set(lower)), (
+                "shed in favor of a lower tier"
+            )
 
     def on_preempt(self, preempt: asks.Preempt) -> None:
         victim = self.asks[preempt.request_id]
         assert preempt.request_id in self.running
-        assert victim.tier > preempt.for_tier, "preempted for a lower tier"
+        assert victim.tier > preempt.for_tier, (
+            "preempted in favor of a lower tier"
+        )
         assert victim.preemptible
 
     @stateful.invariant()
-    def nothing_is_forgotten(self) -> None:
+    def all_requests_are_accounted_for(self) -> None:
         present = {ask.request_id for ask in self.cell.waiting_asks()}
         assert present == set(self.waiting)
         assert self.cell.running == len(self.running)
 
     @stateful.invariant()
-    def places_are_not_given_twice(self) -> None:
+    def slots_are_consistent(self) -> None:
         for endpoint in self.cell.endpoints.values():
             held = sum(
                 grant.endpoint == endpoint.name
@@ -157,7 +165,7 @@
             assert held == len(endpoint.runs)
 
     @stateful.invariant()
-    def some_endpoint_stays(self) -> None:
+    def some_endpoint_remains(self) -> None:
         ejected = [
             e
             for e in self.cell.endpoints.values()
@@ -166,7 +174,7 @@
         assert len(ejected) < len(self.cell.endpoints)
 
     def teardown(self) -> None:
-        """Whatever waits is served once endpoints are well again."""
+        """Checks that all requests end once all endpoints are healthy."""
         for name in NAMES:
             self.cell.set_endpoint(name, 2, self.now)
             report = asks.LoadReport(name, self.now, 0, 0)
