--- a/martenjunction/cells/broker.py
+++ b/martenjunction/cells/broker.py
@@ -121,7 +121,7 @@
             zone, clock, rng or random.Random()
         )
         self._cells: dict[str, directory.CellInfo] = {}
-        self._owner_now: dict[str, str] = {}
+        self._current_owner: dict[str, str] = {}
         self._tickets: dict[str, Ticket] = {}
         self._counts = BrokerCounts()
         self._handlers: dict[type[Any], Callable[[str, Any], None]] = {
@@ -149,7 +149,7 @@
     @property
     def owners_now(self) -> dict[str, str]:
         """The current owner of each cell in use."""
-        return dict(self._owner_now)
+        return dict(self._current_owner)
 
     def set_cells(self, cells: dict[str, directory.CellInfo]) -> None:
         """Applies a new layout of cells.
@@ -160,12 +160,12 @@
         self._choice.set_cells(cells.values())
         for ticket in list(self._tickets.values()):
             if ticket.cell.name not in cells:
-                self._rehome(ticket)
+                self._move_to_other_cell(ticket)
             else:
                 ticket.cell = cells[ticket.cell.name]
-        self._owner_now = {
+        self._current_owner = {
             name: owner
-            for name, owner in self._owner_now.items()
+            for name, owner in self._current_owner.items()
             if name in cells
         }
         self.reassign()
@@ -187,7 +187,7 @@
         ticket = Ticket(ask, cell, owner)
         self._tickets[ask.request_id] = ticket
         self._counts.asked += 1
-        self._say(ticket, self._ask_message(ticket))
+        self._send_to_owner(ticket, self._ask_message(ticket))
         return ticket
 
     def withdraw(self, ticket: Ticket) -> None:
@@ -196,11 +196,11 @@
             return
         self._close(ticket)
         message = messages.Withdraw(ticket.cell.name, ticket.ask.request_id)
-        self._say(ticket, message)
+        self._send_to_owner(ticket, message)
 
     def first_token(self, ticket: Ticket, seconds: float) -> None:
         """Notifies the cell of the first token."""
-        self._say(
+        self._send_to_owner(
             ticket,
             messages.FirstToken(
                 ticket.cell.name, ticket.ask.request_id, round(seconds, 4)
@@ -212,7 +212,7 @@
         if ticket.state is TicketState.OVER:
             return
         self._close(ticket)
-        self._say(
+        self._send_to_owner(
             ticket,
             messages.RunEnded(
                 ticket.cell.name,
@@ -239,11 +239,11 @@
         messages.
         """
         changed = set()
-        for name, known in list(self._owner_now.items()):
+        for name, known in list(self._current_owner.items()):
             cell = self._cells.get(name)
             owner = self._first_owner(cell) if cell is not None else self._box
             if owner != known:
-                self._owner_now[name] = owner
+                self._current_owner[name] = owner
                 self._choice.forget_summary(name)
                 changed.add(name)
         if not changed:
@@ -259,10 +259,10 @@
     # Owners.
 
     def _owner_of(self, cell: directory.CellInfo) -> str:
-        owner = self._owner_now.get(cell.name)
+        owner = self._current_owner.get(cell.name)
         if owner is None:
             owner = self._first_owner(cell)
-            self._owner_now[cell.name] = owner
+            self._current_owner[cell.name] = owner
         return owner
 
     def _first_owner(self, cell: directory.CellInfo) -> str:
@@ -270,7 +270,9 @@
 
     # Messages to owners.
 
-    def _say(self, ticket: Ticket, message: messages.FromEntry) -> None:
+    def _send_to_owner(
+        self, ticket: Ticket, message: messages.FromEntry
+    ) -> None:
         if not self._send(ticket.owner, message):
             # The next call of `reassign` moves the request to another owner.
             logger.debug("cell owner %s cannot be reached", ticket.owner)
@@ -281,7 +283,7 @@
         )
 
     def _move(self, ticket: Ticket) -> None:
-        ticket.owner = self._owner_now[ticket.cell.name]
+        ticket.owner = self._current_owner[ticket.cell.name]
         ticket.ask = dataclasses.replace(ticket.ask, firm=True)
         self._counts.moved += 1
         message: messages.FromEntry = self._ask_message(ticket)
@@ -290,15 +292,17 @@
             message = messages.AnnounceRun(
                 self._ask_message(ticket), ticket.endpoint, running
             )
-        self._say(ticket, message)
+        self._send_to_owner(ticket, message)
 
-    def _rehome(self, ticket: Ticket) -> None:
+    def _move_to_other_cell(self, ticket: Ticket) -> None:
         """Moves a request to the cell that contains its endpoint, or any."""
         cells = self._choice.of_service(ticket.cell.service)
-        fit = [c for c in cells if ticket.endpoint in c.endpoints] or cells
-        if not fit:
+        candidates = [
+            c for c in cells if ticket.endpoint in c.endpoints
+        ] or cells
+        if not candidates:
             return
-        ticket.cell = fit[0]
+        ticket.cell = candidates[0]
         self._owner_of(ticket.cell)
         self._move(ticket)
 
@@ -316,8 +320,8 @@
         if ticket is None or ticket.cell.name != message.cell:
             # Granted by a previous owner, or to a request that has ended.
             self._counts.returned += 1
-            back = messages.Withdraw(message.cell, message.request_id)
-            self._send(sender, back)
+            withdrawal = messages.Withdraw(message.cell, message.request_id)
+            self._send(sender, withdrawal)
             return
         ticket.state = TicketState.RUNNING
         ticket.endpoint = message.endpoint
@@ -351,5 +355,5 @@
         return ticket if ticket.state is state else None
 
     def _on_summary(self, sender: str, message: messages.Summary) -> None:
-        if self._owner_now.get(message.cell, sender) == sender:
+        if self._current_owner.get(message.cell, sender) == sender:
             self._choice.take_summary(message)
--- a/martenjunction/cells/cell.py
+++ b/martenjunction/cells/cell.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndpointSeen:
+class ListedEndpoint:
     """An endpoint as listed by its service."""
 
     name: str
@@ -46,7 +46,7 @@
 class EndpointsListed:
     """The complete list of the cell's endpoints."""
 
-    endpoints: tuple[EndpointSeen, ...]
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndpointSilent:
+class EndpointUnreachable:
     """An endpoint that could not be reached to query its load."""
 
     endpoint: str
@@ -81,7 +81,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StepNow:
+class TickElapsed:
     """A periodic tick."""
 
 
@@ -89,9 +89,9 @@
     FromBox
     | EndpointsListed
     | EndpointReported
-    | EndpointSilent
+    | EndpointUnreachable
     | EntryLost
-    | StepNow
+    | TickElapsed
 )
 
 
@@ -120,15 +120,15 @@
         self._mailbox: mailbox.Mailbox[Input] = mailbox.Mailbox(100_000)
         self._task: asyncio.Task[None] | None = None
         self._subscriptions: list[timers.Subscription] = []
-        self._reviewed = 0.0
-        self._lost: dict[str, float] = {}
+        self._last_review = 0.0
+        self._lost_entries: dict[str, float] = {}
         self._handlers: dict[type[Any], Callable[[Any, float], None]] = {
             FromBox: self._on_message,
             EndpointsListed: self._on_listed,
             EndpointReported: self._on_report,
-            EndpointSilent: self._on_silent,
+            EndpointUnreachable: self._on_unreachable,
             EntryLost: self._on_entry_lost,
-            StepNow: self._on_step,
+            TickElapsed: self._on_tick,
         }
         self._from_entry: dict[type[Any], Callable[[str, Any, float], None]] = {
             messages.AskPlace: self._on_ask,
@@ -169,9 +169,9 @@
 
     def _tick(self) -> None:
         """Wakes the task, less often while no request waits."""
-        due = self._timers.now() - self._reviewed >= REVIEW_INTERVAL
+        due = self._timers.now() - self._last_review >= REVIEW_INTERVAL
         if due or self._decider.waiting:
-            self.put(StepNow())
+            self.put(TickElapsed())
 
     async def stop(self) -> None:
         """Stops the task without notifying entry daemons."""
@@ -205,7 +205,7 @@
             self._send(decision.entry, message)
 
     def _on_message(self, received: FromBox, now: float) -> None:
-        self._lost.pop(received.entry, None)
+        self._lost_entries.pop(received.entry, None)
         handler = self._from_entry[type(received.message)]
         handler(received.entry, received.message, now)
 
@@ -267,18 +267,20 @@
             now,
         )
 
-    def _on_silent(self, silent: EndpointSilent, now: float) -> None:
-        self._decider.silent(silent.endpoint, now)
+    def _on_unreachable(
+        self, unreachable: EndpointUnreachable, now: float
+    ) -> None:
+        self._decider.silent(unreachable.endpoint, now)
 
     def _on_entry_lost(self, lost: EntryLost, now: float) -> None:
-        self._lost.setdefault(lost.entry, now)
+        self._lost_entries.setdefault(lost.entry, now)
 
-    def _on_step(self, _: StepNow, now: float) -> None:
-        if now - self._reviewed < REVIEW_INTERVAL:
+    def _on_tick(self, _: TickElapsed, now: float) -> None:
+        if now - self._last_review < REVIEW_INTERVAL:
             return
-        self._reviewed = now
+        self._last_review = now
         self._deliver(self._decider.review(now))
-        for entry, since in list(self._lost.items()):
+        for entry, since in list(self._lost_entries.items()):
             if now - since > LOST_ENTRY_GRACE:
-                del self._lost[entry]
+                del self._lost_entries[entry]
                 self._decider.forget_entry(entry, now)
--- a/martenjunction/cells/cell_choice.py
+++ b/martenjunction/cells/cell_choice.py
@@ -12,7 +12,7 @@
 SUMMARY_LIFETIME = 6.0
 
 # Penalty in seconds for a cell outside the policies' preferred zones.
-AGAINST_POLICY = 2.0
+POLICY_MISMATCH_PENALTY_S = 2.0
 
 
 class CellChoice:
@@ -57,8 +57,8 @@
         entry = self._summaries.get(cell)
         if entry is None:
             return None
-        heard, summary = entry
-        if self._timers.now() - heard > SUMMARY_LIFETIME:
+        received_at, summary = entry
+        if self._timers.now() - received_at > SUMMARY_LIFETIME:
             return None
         if not summary.delay_ms:
             return None
@@ -82,14 +82,14 @@
         preferred = [c for c in cells if _is_preferred(c, ask)]
         if preferred:
             first = self._rng.choice(preferred)
-        return min((first, second), key=lambda cell: self._price(cell, ask))
+        return min((first, second), key=lambda cell: self._cost(cell, ask))
 
-    def _price(self, cell: directory.CellInfo, ask: asks.Ask) -> float:
-        price = directory.distance(self._zone, cell.place)
-        price += self.delay(cell.name, ask.tier) or 0.0
+    def _cost(self, cell: directory.CellInfo, ask: asks.Ask) -> float:
+        cost = directory.distance(self._zone, cell.place)
+        cost += self.delay(cell.name, ask.tier) or 0.0
         if ask.zones and not _is_preferred(cell, ask):
-            price += AGAINST_POLICY
-        return price
+            cost += POLICY_MISMATCH_PENALTY_S
+        return cost
 
 
 def _is_preferred(cell: directory.CellInfo, ask: asks.Ask) -> bool:
--- a/martenjunction/cells/directory.py
+++ b/martenjunction/cells/directory.py
@@ -70,21 +70,21 @@
             if old.get(name) is not endpoint
         }
         gone = [name for name in old if name not in config.endpoint]
-        touched = {self._take_out(name) for name in (*gone, *changed)}
+        touched = {self._remove_endpoint(name) for name in (*gone, *changed)}
         for name, endpoint in changed.items():
-            touched.add(self._put_in(name, endpoint))
+            touched.add(self._add_endpoint(name, endpoint))
         self._infos = dict(self._infos)
         for cell in touched - {""}:
-            self._remake(cell)
+            self._rebuild(cell)
         return self._infos
 
-    def _take_out(self, name: str) -> str:
+    def _remove_endpoint(self, name: str) -> str:
         cell = self._cell_of.pop(name, "")
         if cell:
             self._members[cell].discard(name)
         return cell
 
-    def _put_in(self, name: str, endpoint: fleet.Endpoint) -> str:
+    def _add_endpoint(self, name: str, endpoint: fleet.Endpoint) -> str:
         service = self._services.get(endpoint.service)
         if service is None:
             return ""
@@ -96,7 +96,7 @@
         self._members.setdefault(cell, set()).add(name)
         return cell
 
-    def _remake(self, cell: str) -> None:
+    def _rebuild(self, cell: str) -> None:
         names = self._members[cell]
         if not names:
             del self._members[cell]
--- a/martenjunction/cells/host.py
+++ b/martenjunction/cells/host.py
@@ -42,12 +42,12 @@
         """
         self._timers = clock
         self._send = send
-        self._make = make
+        self._new_dispatcher = make
         self._layout: dict[str, directory.CellInfo] = {}
         self._endpoints: dict[str, fleet.Endpoint] = {}
         self._leaving: frozenset[str] = frozenset()
         self._tasks: dict[str, cell.CellTask] = {}
-        self._used: dict[str, float] = {}
+        self._last_used: dict[str, float] = {}
         self._owned: frozenset[str] = frozenset()
 
     @property
@@ -78,10 +78,10 @@
             decider = task.decider
             busy = decider.waiting or decider.running or name in owned
             if busy:
-                self._used[name] = now
-            elif now - self._used.get(name, now) > IDLE_LIFETIME:
+                self._last_used[name] = now
+            elif now - self._last_used.get(name, now) > IDLE_LIFETIME:
                 del self._tasks[name]
-                self._used.pop(name, None)
+                self._last_used.pop(name, None)
                 await task.stop()
 
     def receive(self, entry: str, message: messages.FromEntry) -> None:
@@ -96,13 +96,13 @@
         self, endpoint: str, age: float, running: int, waiting: int
     ) -> None:
         """Dispatches an endpoint's load report to the cells that contain it."""
-        self._put_for(
+        self._put_to_cells_with(
             endpoint, cell.EndpointReported(endpoint, age, running, waiting)
         )
 
     def silent(self, endpoint: str) -> None:
         """Reports an unreachable endpoint to the cells that contain it."""
-        self._put_for(endpoint, cell.EndpointSilent(endpoint))
+        self._put_to_cells_with(endpoint, cell.EndpointUnreachable(endpoint))
 
     def entry_lost(self, entry: str) -> None:
         """Reports an entry daemon that is considered dead to all cells."""
@@ -135,7 +135,7 @@
             await task.stop()
         self._tasks.clear()
 
-    def _put_for(self, endpoint: str, message: cell.Input) -> None:
+    def _put_to_cells_with(self, endpoint: str, message: cell.Input) -> None:
         for name, task in self._tasks.items():
             info = self._layout.get(name)
             if info is not None and endpoint in info.endpoints:
@@ -144,9 +144,11 @@
     def _task(self, name: str) -> cell.CellTask:
         task = self._tasks.get(name)
         if task is None:
-            task = cell.CellTask(name, self._make(), self._timers, self._send)
+            task = cell.CellTask(
+                name, self._new_dispatcher(), self._timers, self._send
+            )
             self._tasks[name] = task
-            self._used[name] = self._timers.now()
+            self._last_used[name] = self._timers.now()
             task.start()
             task.put(self._listing(name))
         return task
@@ -156,7 +158,7 @@
         names = info.endpoints if info is not None else ()
         return cell.EndpointsListed(
             tuple(
-                cell.EndpointSeen(
+                cell.ListedEndpoint(
                     endpoint,
                     self._endpoints[endpoint].slots,
                     self._endpoints[endpoint].zone,
--- a/martenjunction/cells/summaries.py
+++ b/martenjunction/cells/summaries.py
@@ -6,11 +6,11 @@
 
 # Seconds after which an unchanged summary is sent again. Must be shorter than
 # `cell_choice.SUMMARY_LIFETIME`, after which entry daemons drop it.
-REFRESH = 4.0
+REFRESH_INTERVAL_S = 4.0
 
 # Minimum change of a predicted delay, as a fraction and in milliseconds, for a
 # summary to be sent; both must be exceeded.
-CHANGE_PART = 0.25
+CHANGE_FRACTION = 0.25
 CHANGE_MS = 20
 
 
@@ -41,7 +41,7 @@
 
     def _is_due(self, summary: messages.Summary, now: float) -> bool:
         sent = self._sent.get(summary.cell)
-        if sent is None or now - sent.at >= REFRESH:
+        if sent is None or now - sent.at >= REFRESH_INTERVAL_S:
             return True
         old = sent.summary
         if (summary.free == 0) != (old.free == 0):
@@ -51,4 +51,4 @@
 
 
 def _differs(new: int, old: int) -> bool:
-    return abs(new - old) > max(CHANGE_MS, CHANGE_PART * max(new, old))
+    return abs(new - old) > max(CHANGE_MS, CHANGE_FRACTION * max(new, old))
--- a/martenjunction/claims/keeper.py
+++ b/martenjunction/claims/keeper.py
@@ -73,7 +73,7 @@
         Returns:
             None if the request may run, else its result.
         """
-        state = await self._state(_claim_of(request))
+        state = await self._request_claim(_make_claim(request))
         if state is messages.ClaimState.CLAIMED:
             return None
         if state is messages.ClaimState.UNAVAILABLE:
@@ -87,14 +87,14 @@
                 "the idempotency key could not be claimed on the platform",
                 RETRY_AFTER,
             )
-        outcome, code, message = _REFUSALS[state]
+        outcome, code, message = _CLAIMED_RESULTS[state]
         return results.Result(outcome, code, message)
 
     def settle(
         self, request: requests.RoutedRequest, outcome: outcomes.Outcome
     ) -> None:
         """Settles the claim of a request that ended."""
-        claim = _claim_of(request)
+        claim = _make_claim(request)
         ran = outcome is not outcomes.Outcome.NOT_RUN
         message = messages.Settle(claim.shard, claim.key, claim.request_id, ran)
         owner = self._owner(f"claims/{claim.shard}")
@@ -107,7 +107,7 @@
         self, sender: str, message: messages.Claim | messages.Settle
     ) -> None:
         """Processes a claim or settlement as the owner of its shard."""
-        answer: shards.Answer | None = None
+        answer: shards.ReplyCallback | None = None
         if isinstance(message, messages.Claim):
 
             def answer(reply: messages.ClaimAnswer) -> None:
@@ -135,7 +135,9 @@
         for shard in self._shards.values():
             await shard.stop()
 
-    async def _state(self, claim: messages.Claim) -> messages.ClaimState:
+    async def _request_claim(
+        self, claim: messages.Claim
+    ) -> messages.ClaimState:
         waiting: asyncio.Future[messages.ClaimState] = (
             asyncio.get_running_loop().create_future()
         )
@@ -169,7 +171,7 @@
         return self._shards[number]
 
 
-def _claim_of(request: requests.RoutedRequest) -> messages.Claim:
+def _make_claim(request: requests.RoutedRequest) -> messages.Claim:
     text = f"{request.workspace}\x00{request.idempotency_key}"
     digest = xxhash.xxh3_128(text.encode())
     number = digest.intdigest() % SHARDS
@@ -177,7 +179,7 @@
 
 
 # Results for requests whose key is claimed by another request.
-_REFUSALS = {
+_CLAIMED_RESULTS = {
     messages.ClaimState.IN_PROGRESS: (
         outcomes.Outcome.UNKNOWN,
         results.FailureCode.ALREADY_CLAIMED,
--- a/martenjunction/claims/shards.py
+++ b/martenjunction/claims/shards.py
@@ -20,12 +20,12 @@
 # Seconds for which a batch is collected, minimum seconds between writes of a
 # shard, and maximum attempts to write a batch. The interval makes batches
 # larger, instead of writes more frequent, under a high rate of claims.
-GATHER = 0.02
+BATCH_WINDOW_S = 0.02
 WRITE_INTERVAL = 0.25
-MAX_TRIES = 4
+MAX_WRITE_ATTEMPTS = 4
 
 Change = messages.Claim | messages.Settle
-Answer = Callable[[messages.ClaimAnswer], None]
+ReplyCallback = Callable[[messages.ClaimAnswer], None]
 
 
 class ClaimShard:
@@ -55,8 +55,8 @@
         self._platform = platform
         self._wall_clock = wall_clock
         self._clock = clock
-        self._began = -WRITE_INTERVAL
-        self._mailbox: mailbox.Mailbox[tuple[Change, Answer | None]] = (
+        self._last_write_at = -WRITE_INTERVAL
+        self._mailbox: mailbox.Mailbox[tuple[Change, ReplyCallback | None]] = (
             mailbox.Mailbox(20_000)
         )
         self._table: table.ClaimTable | None = None
@@ -75,7 +75,7 @@
         """Number of writes rejected because of a version conflict."""
         return self._conflicts
 
-    def put(self, change: Change, answer: Answer | None = None) -> None:
+    def put(self, change: Change, answer: ReplyCallback | None = None) -> None:
         """Enqueues a claim or settlement.
 
         Raises:
@@ -92,31 +92,31 @@
         if self._task is None:
             return
         while len(self._mailbox):
-            await asyncio.sleep(GATHER)
+            await asyncio.sleep(BATCH_WINDOW_S)
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
     async def _run(self) -> None:
         while True:
             batch = await self._mailbox.get_all()
-            since = self._clock() - self._began
-            await asyncio.sleep(max(GATHER, WRITE_INTERVAL - since))
-            self._began = self._clock()
+            since = self._clock() - self._last_write_at
+            await asyncio.sleep(max(BATCH_WINDOW_S, WRITE_INTERVAL - since))
+            self._last_write_at = self._clock()
             if len(self._mailbox):
                 batch += await self._mailbox.get_all()
-            states = await self._carry_out([change for change, _ in batch])
+            states = await self._apply([change for change, _ in batch])
             for change, answer in batch:
                 if answer is not None:
                     state = states[change.request_id]
                     answer(messages.ClaimAnswer(change.request_id, state))
 
-    async def _carry_out(
+    async def _apply(
         self, changes: list[Change]
     ) -> dict[str, messages.ClaimState]:
         """Writes the changes; returns the confirmed state of each claim."""
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
-                states = await self._try(changes)
+                states = await self._write(changes)
             except errors.VersionConflictError:
                 self._conflicts += 1
                 self._table = None
@@ -135,7 +135,7 @@
             for change in changes
         }
 
-    async def _try(
+    async def _write(
         self, changes: list[Change]
     ) -> dict[str, messages.ClaimState]:
         current = self._table or await self._load()
@@ -159,9 +159,9 @@
         return states
 
     async def _load(self) -> table.ClaimTable:
-        held = await self._platform.get(self._key)
-        self._version = held.version if held is not None else 0
-        value = held.value if held is not None else None
+        stored = await self._platform.get(self._key)
+        self._version = stored.version if stored is not None else 0
+        value = stored.value if stored is not None else None
         try:
             return table.ClaimTable.from_value(value)
         except pydantic.ValidationError as error:
--- a/martenjunction/claims/table.py
+++ b/martenjunction/claims/table.py
@@ -8,7 +8,7 @@
 from martenjunction.claims import messages
 
 # Seconds after its last change at which a claim expires.
-LIFETIME = 24 * 3600.0
+CLAIM_TTL_S = 24 * 3600.0
 
 # Maximum claims per shard. The platform accepts values of up to 1 MB, and a
 # claim takes about 100 bytes.
@@ -60,7 +60,7 @@
             return messages.ClaimState.UNAVAILABLE
         if entry is None or entry.expires <= now:
             self._entries[claim.key] = Entry(
-                claim.request_id, False, now + LIFETIME
+                claim.request_id, False, now + CLAIM_TTL_S
             )
             return messages.ClaimState.CLAIMED
         if entry.request_id == claim.request_id:
@@ -79,7 +79,7 @@
             return True
         changed = not entry.ran
         entry.ran = True
-        entry.expires = now + LIFETIME
+        entry.expires = now + CLAIM_TTL_S
         return changed
 
     def expire(self, now: float) -> None:
--- a/martenjunction/decisions/cells/cell_endpoints.py
+++ b/martenjunction/decisions/cells/cell_endpoints.py
@@ -32,7 +32,7 @@
             endpoint = placement.Endpoint(name, slots, zone)
             self._by_name[name] = endpoint
         endpoint.slots = slots
-        endpoint.health.move(endpoint_states.EndpointEvent.LISTED_AGAIN, now)
+        endpoint.health.move(endpoint_states.EndpointEvent.RELISTED, now)
         self.refresh(endpoint, now)
 
     def set_leaving(self, name: str, now: float) -> None:
@@ -93,7 +93,7 @@
         endpoint.refusals.answer(run.granted)
         self.refresh(endpoint, now)
 
-    def names_limit(
+    def set_rate_limit(
         self, run: asks.Run, per_s: float | None, now: float
     ) -> None:
         """Applies the rate limit that an endpoint announces.
@@ -104,10 +104,10 @@
             now: The current time.
         """
         endpoint = self._by_name[run.endpoint]
-        endpoint.names_limit(run, per_s, now)
+        endpoint.set_rate_limit(run, per_s, now)
         self.refresh(endpoint, now)
 
-    def rest_left_s(self, now: float) -> float:
+    def backoff_left_s(self, now: float) -> float:
         """Returns seconds until the earliest back-off ends; 0 if none."""
         ends = [
             endpoint.refusals.rest_until - now
@@ -116,15 +116,15 @@
         ]
         return min(ends, default=0.0)
 
-    def look_after(self, now: float) -> None:
+    def refresh_all(self, now: float) -> None:
         """Applies time-dependent changes to all endpoints."""
         endpoints = list(self._by_name.values())
         for endpoint in endpoints:
             endpoint.expire_report(now)
             self.refresh(endpoint, now)
-        placement.forget_idle(endpoints, now)
+        placement.decay_idle(endpoints, now)
 
-    def routes_beyond(self, avoided: Set[str]) -> bool:
+    def has_routing_outside(self, avoided: Set[str]) -> bool:
         """Returns whether any endpoint not in `avoided` receives requests."""
         return any(
             endpoint.name not in avoided
--- a/martenjunction/decisions/cells/cell_pace.py
+++ b/martenjunction/decisions/cells/cell_pace.py
@@ -11,25 +11,25 @@
 LEAD_MARGIN = 1.2
 
 # Delay predicted while no endpoint receives requests, in seconds.
-NO_PLACE_DELAY = 5.0
+NO_ENDPOINT_DELAY_S = 5.0
 
 # Minimum queue length of a tier for its grant rate to be used in predictions.
 MIN_QUEUE_FOR_RATE = 4
 
 # Initial estimate and minimum of the seconds for which a run occupies a slot.
-USUAL_HOLD = 1.0
-SHORTEST_HOLD = 0.001
+DEFAULT_HOLD_S = 1.0
+MIN_HOLD_S = 0.001
 
 # Initial estimate of the seconds to the first token.
-USUAL_FIRST_TOKEN = 0.05
+DEFAULT_FIRST_TOKEN_S = 0.05
 
 
-class Pace:
+class CellPace:
     """Estimates of one cell's throughput and latency."""
 
     def __init__(self) -> None:
-        self._first_tokens = estimates.Average(USUAL_FIRST_TOKEN)
-        self._hold = estimates.Average(USUAL_HOLD)
+        self._first_tokens = estimates.Average(DEFAULT_FIRST_TOKEN_S)
+        self._hold = estimates.Average(DEFAULT_HOLD_S)
         self._grants = {tier: rates.Rate() for tier in tiers.TIERS}
 
     @property
@@ -52,7 +52,7 @@
 
     def completed(self, seconds: float) -> None:
         """Records the seconds for which a completed run occupied a slot."""
-        self._hold.add(max(SHORTEST_HOLD, seconds))
+        self._hold.add(max(MIN_HOLD_S, seconds))
 
     def rate(self, tier: int, now: float) -> float:
         """Returns a tier's grants per second."""
@@ -62,7 +62,7 @@
         self,
         tier: int,
         present: waiting_requests.WaitingRequests,
-        room: places.Places,
+        slot_counts: places.Places,
         now: float,
     ) -> float:
         """Returns the predicted queueing delay of a new request in seconds.
@@ -70,13 +70,13 @@
         Args:
             tier: The request's tier.
             present: The requests already waiting.
-            room: The cell's slot counts.
+            slot_counts: The cell's slot counts.
             now: The current time.
         """
-        if room.slots == 0:
-            return NO_PLACE_DELAY
-        ahead = max(0, present.up_to(tier) - room.free)
-        by_capacity = ahead * self._hold.value / room.slots
+        if slot_counts.slots == 0:
+            return NO_ENDPOINT_DELAY_S
+        ahead = max(0, present.up_to(tier) - slot_counts.free)
+        by_capacity = ahead * self._hold.value / slot_counts.slots
         own = len(present.of_tier(tier))
         rate = self.rate(tier, now)
         if own < MIN_QUEUE_FOR_RATE or rate <= 0.0:
--- a/martenjunction/decisions/cells/cell_state.py
+++ b/martenjunction/decisions/cells/cell_state.py
@@ -27,9 +27,11 @@
     endpoints: cell_endpoints.CellEndpoints = dataclasses.field(
         default_factory=cell_endpoints.CellEndpoints
     )
-    pace: cell_pace.Pace = dataclasses.field(default_factory=cell_pace.Pace)
-    counts: dispatch_counts.Counts = dataclasses.field(
-        default_factory=dispatch_counts.Counts
+    pace: cell_pace.CellPace = dataclasses.field(
+        default_factory=cell_pace.CellPace
+    )
+    counts: dispatch_counts.DispatchCounts = dataclasses.field(
+        default_factory=dispatch_counts.DispatchCounts
     )
 
     def add_run(self, run: asks.Run, now: float) -> None:
@@ -44,7 +46,7 @@
 
     def predicted_delay(self, tier: int, now: float) -> float:
         """Returns the predicted queueing delay of a new request in seconds."""
-        rest_s = self.endpoints.rest_left_s(now)
+        rest_s = self.endpoints.backoff_left_s(now)
         if rest_s and not self.endpoints.places.slots:
             return rest_s
         return self.pace.delay(tier, self.waiting, self.endpoints.places, now)
--- a/martenjunction/decisions/cells/dispatch_counts.py
+++ b/martenjunction/decisions/cells/dispatch_counts.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Counts:
+class DispatchCounts:
     """Counters since the dispatcher was created.
 
     Attributes:
--- a/martenjunction/decisions/cells/dispatcher.py
+++ b/martenjunction/decisions/cells/dispatcher.py
@@ -73,12 +73,12 @@
         )
         self._granting = granting.Granting(self._cell, settings.sharing.reserve)
         self._outliers = outliers.Outliers(self._cell)
-        self._sheds = sheds.Sheds(self._cell.counts, self._rng)
+        self._sheds = sheds.Shedder(self._cell.counts, self._rng)
 
     # State.
 
     @property
-    def counts(self) -> dispatch_counts.Counts:
+    def counts(self) -> dispatch_counts.DispatchCounts:
         """Counters since the dispatcher was created."""
         return self._cell.counts
 
@@ -142,13 +142,13 @@
         """
         if ask.request_id in self._cell.runs:
             return []
-        self._granting.saw(ask.tier, now)
+        self._granting.record_arrival(ask.tier, now)
         delay = self.predicted_delay(ask.tier, now)
         left = ask.patience - (now - ask.arrived)
         if self._settings.shed_by_delay and not ask.firm and delay > left:
             return [self._sheds.shed(ask, asks.ShedReason.DELAY, delay - left)]
         self._cell.waiting.push(ask, now)
-        return self._keep_bound(now)
+        return self._enforce_max_waiting(now)
 
     def adopt(self, run: asks.Run) -> None:
         """Records a run granted by a previous owner of the cell."""
@@ -201,7 +201,7 @@
         if end.ending is asks.Ending.REFUSED:
             self._cell.endpoints.refused(endpoint.name, end.rest_s, now)
         if end.answered:
-            self._cell.endpoints.names_limit(run, end.limit_per_s, now)
+            self._cell.endpoints.set_rate_limit(run, end.limit_per_s, now)
         if end.token_interval_s is not None:
             endpoint.speed.interval_s.add(end.token_interval_s)
         if end.ending in asks.FAULTS:
@@ -241,13 +241,13 @@
             The shed requests: those whose patience has expired, and late ones
             that would not be granted before it expires.
         """
-        self._cell.endpoints.look_after(now)
+        self._cell.endpoints.refresh_all(now)
         listed = self._cell.endpoints.by_name.values()
         for overdue in placement.overdue_runs(listed, now):
             self._outliers.observe(overdue.endpoint, overdue.ratio, now)
         return [
             self._sheds.shed(ask, asks.ShedReason.DELAY, 0.0)
-            for ask in self._without_chance(now)
+            for ask in self._hopeless_requests(now)
             if self.withdraw(ask.request_id)
         ]
 
@@ -261,7 +261,7 @@
             ),
         )
 
-    def _without_chance(self, now: float) -> list[asks.Ask]:
+    def _hopeless_requests(self, now: float) -> list[asks.Ask]:
         found = [
             ask
             for ask in self.waiting_asks()
@@ -271,7 +271,9 @@
             rate = self._cell.pace.rate(tier, now)
             if rate > 0.0 and self._settings.shed_by_delay:
                 queue = self._cell.waiting.of_tier(tier)
-                found += queue.without_chance(now, self._cell.pace.lead, rate)
+                found += queue.unreachable_in_time(
+                    now, self._cell.pace.lead, rate
+                )
         return found
 
     def _preemptions(self, now: float) -> list[asks.Preempt]:
@@ -279,12 +281,12 @@
         if found is None:
             return []
         victim, tier = found
-        self._cell.runs.give_way(victim)
+        self._cell.runs.start_preemption(victim)
         self._cell.counts.preempted += 1
         ask = victim.ask
         return [asks.Preempt(ask.request_id, ask.entry, victim.endpoint, tier)]
 
-    def _keep_bound(self, now: float) -> list[asks.Decision]:
+    def _enforce_max_waiting(self, now: float) -> list[asks.Decision]:
         """Sheds the newest request of the lowest tier while too many wait.
 
         The oldest waiting request of each tier is kept and not counted, so a
--- a/martenjunction/decisions/cells/granted_runs.py
+++ b/martenjunction/decisions/cells/granted_runs.py
@@ -23,7 +23,7 @@
         self._giving_way = 0
 
     @property
-    def giving_way(self) -> int:
+    def preempting(self) -> int:
         """Number of runs being preempted that still occupy a slot."""
         return self._giving_way
 
@@ -65,7 +65,7 @@
                 return next(reversed(self._victims[lower].values()))
         return None
 
-    def give_way(self, run: asks.Run) -> None:
+    def start_preemption(self, run: asks.Run) -> None:
         """Marks a run as being preempted."""
         run.cancelling = True
         self._giving_way += 1
--- a/martenjunction/decisions/cells/granting.py
+++ b/martenjunction/decisions/cells/granting.py
@@ -23,13 +23,13 @@
         self._reserve = reserve.Reserve(reserved)
         self._by_share = False
 
-    def saw(self, tier: int, now: float) -> None:
+    def record_arrival(self, tier: int, now: float) -> None:
         """Records the arrival of a request of a tier."""
-        self._reserve.saw(tier, now)
+        self._reserve.record_arrival(tier, now)
 
     def grants(self, now: float) -> Iterator[asks.Grant]:
         """Yields grants until no waiting request can be granted."""
-        held: list[asks.Ask] = []
+        deferred: list[asks.Ask] = []
         places = self._cell.endpoints.places
         while True:
             free = places.open()
@@ -38,10 +38,10 @@
                 break
             chosen = self._choose(ask, free, now)
             if chosen is None:
-                held.append(ask)
+                deferred.append(ask)
                 continue
             yield self.grant(ask, chosen[0], chosen[1], now)
-        for ask in held:
+        for ask in deferred:
             self._cell.waiting.push(ask, now)
 
     def grant(
@@ -86,7 +86,7 @@
         self._by_share = due is not None
         tier = present[0] if due is None else due
         places = self._cell.endpoints.places
-        if due is None and not self._reserve.leaves_room(tier, places, now):
+        if due is None and not self._reserve.allows(tier, places, now):
             return None
         return waiting.take(tier, present, now, self._cell.pace.lead)
 
@@ -95,7 +95,9 @@
     ) -> tuple[placement.Endpoint, float] | None:
         use = self._cell.endpoints.places.use
         chosen = placement.choose(ask, free, use, now)
-        if chosen is None and not self._cell.endpoints.routes_beyond(ask.avoid):
-            again = dataclasses.replace(ask, avoid=frozenset())
-            chosen = placement.choose(again, free, use, now)
+        if chosen is None and not self._cell.endpoints.has_routing_outside(
+            ask.avoid
+        ):
+            retried = dataclasses.replace(ask, avoid=frozenset())
+            chosen = placement.choose(retried, free, use, now)
         return chosen
--- a/martenjunction/decisions/cells/placement.py
+++ b/martenjunction/decisions/cells/placement.py
@@ -37,7 +37,7 @@
         self.health = endpoint_states.Health()
         self.refusals = endpoint_refusals.Refusals()
         self._limit_per_s: float | None = None
-        self._limit_since = 0.0
+        self._limit_changed_at = 0.0
         self._bucket: grant_bucket.GrantBucket | None = None
         self.speed = estimates.Speed()
         self.runs: dict[str, asks.Run] = {}
@@ -47,19 +47,19 @@
         self._blocks: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
         )
-        self._foreign = 0
-        self._reported = -REPORT_LIFETIME
-        self._granted = 0.0
+        self._external_load = 0
+        self._reported_at = -REPORT_LIFETIME
+        self._last_granted = 0.0
 
     @property
     def granted(self) -> float:
         """Time of the last grant."""
-        return self._granted
+        return self._last_granted
 
     @property
     def busy(self) -> int:
         """Occupied slots, including those of requests from elsewhere."""
-        return len(self.runs) + self._foreign
+        return len(self.runs) + self._external_load
 
     def rests(self, now: float) -> bool:
         """Returns whether the endpoint is in a back-off."""
@@ -70,7 +70,7 @@
         """Rate limit in requests per second; None for no limit."""
         return self._limit_per_s
 
-    def names_limit(
+    def set_rate_limit(
         self, run: asks.Run, per_s: float | None, now: float
     ) -> None:
         """Applies the rate limit announced in a response.
@@ -83,7 +83,7 @@
             now: The current time.
         """
         per_s = grant_bucket.binding(per_s)
-        if per_s == self._limit_per_s or run.granted < self._limit_since:
+        if per_s == self._limit_per_s or run.granted < self._limit_changed_at:
             return
         if per_s is None:
             self._bucket = None
@@ -91,7 +91,7 @@
         elif self._bucket is None:
             self._bucket = grant_bucket.GrantBucket(now)
         self._limit_per_s = per_s
-        self._limit_since = now
+        self._limit_changed_at = now
 
     def free(self, now: float) -> int:
         """Returns the number of slots available to new runs."""
@@ -109,7 +109,7 @@
     def start(self, run: asks.Run) -> None:
         """Records a run that occupies a slot."""
         self.runs[run.ask.request_id] = run
-        self._granted = run.granted
+        self._last_granted = run.granted
         if self._bucket is not None and self._limit_per_s is not None:
             self._bucket.take(self._limit_per_s, 1.0, run.granted)
         self.remember(run.ask.prefix)
@@ -131,14 +131,14 @@
         moment = report.measured
         ours = sum(run.granted <= moment for run in self.runs.values())
         ours += sum(granted <= moment < ended for granted, ended in self._ended)
-        self._foreign = max(0, report.running + report.waiting - ours)
-        self._reported = now
-        self.health.move(endpoint_states.EndpointEvent.HEARD, now)
+        self._external_load = max(0, report.running + report.waiting - ours)
+        self._reported_at = now
+        self.health.move(endpoint_states.EndpointEvent.RESPONDED, now)
 
     def expire_report(self, now: float) -> None:
         """Resets the count of other senders' requests if the report expired."""
-        if now - self._reported > REPORT_LIFETIME:
-            self._foreign = 0
+        if now - self._reported_at > REPORT_LIFETIME:
+            self._external_load = 0
 
     def remember(self, prefix: Iterable[int]) -> None:
         """Records blocks that the endpoint's cache probably holds."""
@@ -186,28 +186,32 @@
         The endpoint and the predicted seconds to its first token, or None if
         every free endpoint already failed to serve this request.
     """
-    fit = [e for e in free if e.name not in ask.avoid]
-    if not fit:
+    candidates = [e for e in free if e.name not in ask.avoid]
+    if not candidates:
         return None
     # An endpoint that refuses at once has a free slot at once, so paused ones
     # are used only if there is no other.
-    fit = [e for e in fit if not e.refusals.pauses(now)] or fit
-    slowest = max(e.speed.interval_s.value for e in fit)
+    candidates = [
+        e for e in candidates if not e.refusals.pauses(now)
+    ] or candidates
+    slowest = max(e.speed.interval_s.value for e in candidates)
     slack = max(0.0, ask.deadline - now)
     best: tuple[Endpoint, float] | None = None
     best_score = 0.0
-    for endpoint in fit:
+    for endpoint in candidates:
         predicted = endpoint.predicted_first_token(ask)
-        score = predicted + use * _price(endpoint, predicted, slack, slowest)
+        score = predicted + use * _opportunity_cost(
+            endpoint, predicted, slack, slowest
+        )
         if ask.zones and endpoint.zone not in ask.zones:
-            score += AGAINST_POLICY
+            score += POLICY_MISMATCH_PENALTY_S
         if best is None or score < best_score:
             best = (endpoint, predicted)
             best_score = score
     return best
 
 
-def _price(
+def _opportunity_cost(
     endpoint: Endpoint, predicted: float, slack: float, slowest: float
 ) -> float:
     """Returns the opportunity cost, in seconds, of using a fast endpoint."""
@@ -216,21 +220,21 @@
     else:
         spare = max(0.0, 1.0 - URGENCY * predicted / slack)
     advantage = 1.0 - endpoint.speed.interval_s.value / max(slowest, 1e-9)
-    return spare * advantage * FAST_PRICE
+    return spare * advantage * FAST_ENDPOINT_COST_S
 
 
 # Penalty in seconds for an endpoint outside the policies' preferred zones.
-AGAINST_POLICY = 0.5
+POLICY_MISMATCH_PENALTY_S = 0.5
 
 # A request is urgent when this multiple of its predicted time fills its slack.
 URGENCY = 2.0
 
 # Opportunity cost, in seconds of time to the first token, of the fastest
 # hardware when all slots of a cell are occupied.
-FAST_PRICE = 0.5
+FAST_ENDPOINT_COST_S = 0.5
 
 
-def forget_idle(endpoints: list[Endpoint], now: float) -> None:
+def decay_idle(endpoints: list[Endpoint], now: float) -> None:
     """Moves the estimates of idle endpoints towards the best one.
 
     Otherwise an endpoint once estimated as slow would never be used again, and
@@ -269,7 +273,7 @@
             if run.first_token is not None:
                 continue
             waited = now - run.granted
-            due = max(run.predicted_first_token * OVERDUE_RATIO, OVERDUE_FLOOR)
+            due = max(run.predicted_first_token * OVERDUE_RATIO, MIN_OVERDUE_S)
             if waited > due:
                 ratio = waited / max(run.predicted_first_token, 0.01)
                 found.append(Overdue(endpoint, ratio))
@@ -280,4 +284,4 @@
 # A first token is overdue after this multiple of its prediction, but not before
 # this many seconds.
 OVERDUE_RATIO = 4.0
-OVERDUE_FLOOR = 0.75
+MIN_OVERDUE_S = 0.75
--- a/martenjunction/decisions/cells/places.py
+++ b/martenjunction/decisions/cells/places.py
@@ -13,8 +13,8 @@
     """
 
     def __init__(self) -> None:
-        self._booked: dict[str, tuple[int, int, int]] = {}
-        self._open: dict[str, placement.Endpoint] = {}
+        self._counted: dict[str, tuple[int, int, int]] = {}
+        self._available: dict[str, placement.Endpoint] = {}
         self._free = 0
         self._slots = 0
         self._busy = 0
@@ -38,11 +38,11 @@
 
     def open(self) -> list[placement.Endpoint]:
         """Returns the endpoints with a free slot."""
-        return list(self._open.values())
+        return list(self._available.values())
 
     def refresh(self, endpoint: placement.Endpoint, now: float) -> None:
         """Updates the counts of an endpoint."""
-        self._unbook(endpoint.name)
+        self._remove_counts(endpoint.name)
         free = endpoint.free(now)
         routing = endpoint_states.EndpointState.ROUTING
         receives = endpoint.health.state is routing and not endpoint.rests(now)
@@ -51,20 +51,20 @@
         if endpoint.limit_per_s is not None:
             # Slots that the rate limit leaves unused are not capacity.
             slots = min(slots, busy + free)
-        self._booked[endpoint.name] = (free, slots, busy)
+        self._counted[endpoint.name] = (free, slots, busy)
         self._free += free
         self._slots += slots
         self._busy += busy
         if free > 0:
-            self._open[endpoint.name] = endpoint
+            self._available[endpoint.name] = endpoint
 
     def remove(self, name: str) -> None:
         """Removes an endpoint."""
-        self._unbook(name)
+        self._remove_counts(name)
 
-    def _unbook(self, name: str) -> None:
-        free, slots, busy = self._booked.pop(name, (0, 0, 0))
+    def _remove_counts(self, name: str) -> None:
+        free, slots, busy = self._counted.pop(name, (0, 0, 0))
         self._free -= free
         self._slots -= slots
         self._busy -= busy
-        self._open.pop(name, None)
+        self._available.pop(name, None)
--- a/martenjunction/decisions/cells/preemption.py
+++ b/martenjunction/decisions/cells/preemption.py
@@ -25,7 +25,7 @@
     deadline = queue.next_deadline(now)
     if deadline is None or not _is_urgent(cell, deadline, now):
         return None
-    if cell.runs.giving_way >= len(queue):
+    if cell.runs.preempting >= len(queue):
         return None
     victim = cell.runs.victim(tier)
     return (victim, tier) if victim is not None else None
--- a/martenjunction/decisions/cells/queues.py
+++ b/martenjunction/decisions/cells/queues.py
@@ -21,8 +21,8 @@
     def __init__(self) -> None:
         self._timely: list[tuple[float, int, asks.Ask]] = []
         self._late: list[tuple[float, int, asks.Ask]] = []
-        self._serial = itertools.count()
-        self._since_late = 0
+        self._sequence = itertools.count()
+        self._grants_since_late = 0
         self.virtual_time = 0.0
 
     def __len__(self) -> int:
@@ -30,7 +30,7 @@
 
     def push(self, ask: asks.Ask) -> None:
         """Adds a request, ordered by its deadline."""
-        heapq.heappush(self._timely, (ask.deadline, next(self._serial), ask))
+        heapq.heappush(self._timely, (ask.deadline, next(self._sequence), ask))
 
     def pop(self, now: float, lead: float) -> asks.Ask:
         """Removes and returns the next request.
@@ -42,14 +42,16 @@
         Raises:
             IndexError: If the queue is empty.
         """
-        self._set_late_aside(now + lead)
-        self._since_late += 1
-        if not self._timely or (self._late and self._since_late >= LATE_EVERY):
-            self._since_late = 0
+        self._move_late(now + lead)
+        self._grants_since_late += 1
+        if not self._timely or (
+            self._late and self._grants_since_late >= LATE_EVERY
+        ):
+            self._grants_since_late = 0
             return heapq.heappop(self._late)[2]
         return heapq.heappop(self._timely)[2]
 
-    def without_chance(
+    def unreachable_in_time(
         self, now: float, lead: float, rate: float
     ) -> list[asks.Ask]:
         """Returns late requests that cannot be granted within their patience.
@@ -62,7 +64,7 @@
             lead: Expected seconds to the first token.
             rate: This workspace's grants per second.
         """
-        self._set_late_aside(now + lead)
+        self._move_late(now + lead)
         ahead = len(self._timely) + 1
         found = []
         for position, (_, _, ask) in enumerate(sorted(self._late), ahead):
@@ -71,10 +73,10 @@
                 found.append(ask)
         return found
 
-    def _set_late_aside(self, horizon: float) -> None:
+    def _move_late(self, horizon: float) -> None:
         while self._timely and self._timely[0][0] < horizon:
-            _, serial, ask = heapq.heappop(self._timely)
-            heapq.heappush(self._late, (ask.arrived, serial, ask))
+            _, sequence, ask = heapq.heappop(self._timely)
+            heapq.heappush(self._late, (ask.arrived, sequence, ask))
 
 
 class TierQueue:
@@ -92,7 +94,7 @@
         self._virtual_time = 0.0
         self._present: dict[str, asks.Ask] = {}
         self._deadlines: list[tuple[float, int, asks.Ask]] = []
-        self._serial = itertools.count()
+        self._sequence = itertools.count()
         self._stale = 0
 
     def __len__(self) -> int:
@@ -114,7 +116,9 @@
             heapq.heappush(self._order, (queue.virtual_time, ask.workspace))
         queue.push(ask)
         self._present[ask.request_id] = ask
-        heapq.heappush(self._deadlines, (ask.deadline, next(self._serial), ask))
+        heapq.heappush(
+            self._deadlines, (ask.deadline, next(self._sequence), ask)
+        )
 
     def remove(self, request_id: str) -> asks.Ask | None:
         """Removes a request; returns it, or None if it was not waiting."""
@@ -158,7 +162,7 @@
         """Returns the most recently added request, or None."""
         return next(reversed(self._present.values()), None)
 
-    def without_chance(
+    def unreachable_in_time(
         self, now: float, lead: float, rate: float
     ) -> list[asks.Ask]:
         """Returns late requests that cannot be granted within their patience.
@@ -172,7 +176,7 @@
         found = [
             ask
             for queue in waiting
-            for ask in queue.without_chance(now, lead, rate / len(waiting))
+            for ask in queue.unreachable_in_time(now, lead, rate / len(waiting))
         ]
         return [a for a in found if self._present.get(a.request_id) is a]
 
--- a/martenjunction/decisions/cells/rates.py
+++ b/martenjunction/decisions/cells/rates.py
@@ -14,25 +14,27 @@
         """
         self._window = window
         self._count = 0.0
-        self._at = 0.0
-        self._since: float | None = None
+        self._updated_at = 0.0
+        self._started_at: float | None = None
 
     def add(self, now: float, count: float = 1.0) -> None:
         """Records events."""
-        if self._since is None:
-            self._since = now
-        self._count = self._faded(now) + count
-        self._at = now
+        if self._started_at is None:
+            self._started_at = now
+        self._count = self._decayed_count(now) + count
+        self._updated_at = now
 
     def per_second(self, now: float) -> float:
         """Returns the events per second."""
-        if self._since is None:
+        if self._started_at is None:
             return 0.0
         # Corrects for the shorter observation time before a full window.
-        span = self._window * (
-            1.0 - math.exp(-(now - self._since) / self._window)
+        observed_s = self._window * (
+            1.0 - math.exp(-(now - self._started_at) / self._window)
         )
-        return self._faded(now) / max(span, 0.1)
+        return self._decayed_count(now) / max(observed_s, 0.1)
 
-    def _faded(self, now: float) -> float:
-        return self._count * math.exp(-max(0.0, now - self._at) / self._window)
+    def _decayed_count(self, now: float) -> float:
+        return self._count * math.exp(
+            -max(0.0, now - self._updated_at) / self._window
+        )
--- a/martenjunction/decisions/cells/sheds.py
+++ b/martenjunction/decisions/cells/sheds.py
@@ -10,19 +10,19 @@
 MAX_RETRY_AFTER = 30.0
 
 
-class Sheds:
+class Shedder:
     """Creates and counts the decisions that shed requests."""
 
     def __init__(
-        self, done: dispatch_counts.Counts, rng: random.Random
+        self, counts: dispatch_counts.DispatchCounts, rng: random.Random
     ) -> None:
         """Initializes the shedder.
 
         Args:
-            done: The dispatcher's counters.
+            counts: The dispatcher's counters.
             rng: Source of jitter for retry times.
         """
-        self._counts = done
+        self._counts = counts
         self._rng = rng
 
     def shed(
@@ -38,8 +38,8 @@
         self._counts.shed += 1
         by_tier = self._counts.shed_by_tier
         by_tier[ask.tier] = by_tier.get(ask.tier, 0) + 1
-        pause = min(max(MIN_RETRY_AFTER, excess), MAX_RETRY_AFTER)
-        retry_after = pause * (1.0 + self._rng.random())
+        delay = min(max(MIN_RETRY_AFTER, excess), MAX_RETRY_AFTER)
+        retry_after = delay * (1.0 + self._rng.random())
         return asks.Shed(
             ask.request_id, ask.entry, reason, round(retry_after, 2)
         )
--- a/martenjunction/decisions/endpoint_refusals.py
+++ b/martenjunction/decisions/endpoint_refusals.py
@@ -15,7 +15,7 @@
 # request in flight in the first step and doubles that in each later step, until
 # the endpoint answers one.
 RETURN_STEP_S = 0.2
-MOST_STEPS = 16
+MAX_RAMP_UP_STEPS = 16
 
 # Bounds of the exponential pause after a refusal without a back-off time, in
 # seconds. An endpoint that refuses at once has the fewest requests in flight,
@@ -32,15 +32,15 @@
     """
 
     def __init__(self) -> None:
-        self._rest_until = 0.0
-        self._returning = False
+        self._backoff_until = 0.0
+        self._ramping_up = False
         self._pause_until = 0.0
         self._pause_s = 0.0
 
     @property
     def rest_until(self) -> float:
         """Monotonic end of the back-off; 0 if there was none."""
-        return self._rest_until
+        return self._backoff_until
 
     def ask_rest(self, seconds: float, drawn: float, now: float) -> float:
         """Starts the back-off that the endpoint requested.
@@ -55,15 +55,15 @@
         Returns:
             Seconds by which the back-off was extended; 0 if it was not.
         """
-        believed_s = min(seconds, MAX_REST_S)
-        spread_s = min(believed_s * SPREAD_PART, MOST_SPREAD_S)
-        until = now + believed_s + spread_s * drawn
-        longer_s = until - max(now, self._rest_until)
-        if longer_s <= 0:
+        backoff_s = min(seconds, MAX_REST_S)
+        jitter_s = min(backoff_s * SPREAD_PART, MOST_SPREAD_S)
+        until = now + backoff_s + jitter_s * drawn
+        extended_by_s = until - max(now, self._backoff_until)
+        if extended_by_s <= 0:
             return 0.0
-        self._rest_until = until
-        self._returning = True
-        return longer_s
+        self._backoff_until = until
+        self._ramping_up = True
+        return extended_by_s
 
     def return_from(self, now: float) -> None:
         """Starts the ramp-up of an endpoint that had little work.
@@ -74,9 +74,9 @@
         Args:
             now: The current time.
         """
-        if now >= self._rest_until:
-            self._rest_until = now
-            self._returning = True
+        if now >= self._backoff_until:
+            self._backoff_until = now
+            self._ramping_up = True
 
     def refuse(self, now: float) -> None:
         """Records a refusal and starts or lengthens the pause."""
@@ -98,8 +98,8 @@
             sent_at: When the request was sent.
         """
         self._pause_s = 0.0
-        if sent_at >= self._rest_until:
-            self._returning = False
+        if sent_at >= self._backoff_until:
+            self._ramping_up = False
 
     def accepts(self, running: int, now: float) -> bool:
         """Returns whether the endpoint may be sent a request.
@@ -117,12 +117,12 @@
             running: Requests of this box in flight there.
             now: The current time.
         """
-        if now < self._rest_until:
+        if now < self._backoff_until:
             return 0.0
-        if not self._returning:
+        if not self._ramping_up:
             return math.inf
-        steps = int((now - self._rest_until) / RETURN_STEP_S)
-        return max(0.0, 2.0 ** min(steps, MOST_STEPS) - running)
+        steps = int((now - self._backoff_until) / RETURN_STEP_S)
+        return max(0.0, 2.0 ** min(steps, MAX_RAMP_UP_STEPS) - running)
 
     def pauses(self, now: float) -> bool:
         """Returns whether other endpoints are currently preferred."""
@@ -137,6 +137,6 @@
         """
         if self.accepts(running, now):
             return 0.0
-        if now < self._rest_until:
-            return self._rest_until - now
-        return RETURN_STEP_S - (now - self._rest_until) % RETURN_STEP_S
+        if now < self._backoff_until:
+            return self._backoff_until - now
+        return RETURN_STEP_S - (now - self._backoff_until) % RETURN_STEP_S
--- a/martenjunction/decisions/endpoint_states.py
+++ b/martenjunction/decisions/endpoint_states.py
@@ -24,23 +24,23 @@
 class EndpointEvent(enum.Enum):
     """Events that can change an endpoint's state."""
 
-    HEARD = "heard"
+    RESPONDED = "heard"
     OUTLIER = "outlier"
     TRIAL_PASSED = "trial-passed"
     TRIAL_FAILED = "trial-failed"
     LEAVING = "leaving"
-    LISTED_AGAIN = "listed-again"
+    RELISTED = "listed-again"
 
 
 _NEXT: dict[tuple[EndpointState, EndpointEvent], EndpointState] = {
-    (EndpointState.PENDING, EndpointEvent.HEARD): EndpointState.ROUTING,
+    (EndpointState.PENDING, EndpointEvent.RESPONDED): EndpointState.ROUTING,
     (EndpointState.PENDING, EndpointEvent.LEAVING): EndpointState.DRAINING,
     (EndpointState.PENDING, EndpointEvent.OUTLIER): EndpointState.EJECTED,
     (EndpointState.ROUTING, EndpointEvent.OUTLIER): EndpointState.EJECTED,
     (EndpointState.ROUTING, EndpointEvent.LEAVING): EndpointState.DRAINING,
     (EndpointState.EJECTED, EndpointEvent.TRIAL_PASSED): EndpointState.ROUTING,
     (EndpointState.EJECTED, EndpointEvent.LEAVING): EndpointState.DRAINING,
-    (EndpointState.DRAINING, EndpointEvent.LISTED_AGAIN): EndpointState.PENDING,
+    (EndpointState.DRAINING, EndpointEvent.RELISTED): EndpointState.PENDING,
 }
 
 
@@ -74,15 +74,15 @@
 
     def move(self, event: EndpointEvent, now: float) -> bool:
         """Applies an event; returns whether the state changed."""
-        if event is EndpointEvent.HEARD and self.unreachable:
+        if event is EndpointEvent.RESPONDED and self.unreachable:
             event = EndpointEvent.TRIAL_PASSED
         after = next_state(self.state, event)
         if after is self.state:
             if event is EndpointEvent.TRIAL_FAILED:
-                self._lengthen(now)
+                self._extend_ejection(now)
             return False
         if after is EndpointState.EJECTED:
-            self._lengthen(now)
+            self._extend_ejection(now)
         if event is EndpointEvent.TRIAL_PASSED:
             self.ejections = 0
         if after is not EndpointState.EJECTED:
@@ -134,7 +134,7 @@
         )
         return now - self.ejected_at >= pause
 
-    def _lengthen(self, now: float) -> None:
+    def _extend_ejection(self, now: float) -> None:
         self.ejected_at = now
         self.ejections += 1
 
--- a/martenjunction/decisions/estimates.py
+++ b/martenjunction/decisions/estimates.py
@@ -111,12 +111,12 @@
         """
         super().__init__(start)
         self._weight = weight
-        self._start_counts = start_counts
+        self._start_weight = start_counts
 
     def add(self, value: float) -> None:
         """Adds a sample."""
         self._count += 1
-        seen = self._start_counts + self._count
+        seen = self._start_weight + self._count
         weight = max(self._weight, 1.0 / (1.0 + seen))
         self._value += (value - self._value) * weight
 
--- a/martenjunction/decisions/grant_bucket.py
+++ b/martenjunction/decisions/grant_bucket.py
@@ -6,27 +6,27 @@
 
 # Limits from this one up, in requests per second, are ignored: granting each
 # request would cost more than such an endpoint could lose.
-MOST_PER_S = 1000.0
+MAX_LIMIT_PER_S = 1000.0
 
 # Fraction of a limit that a holder grants, and the fraction in its first
 # seconds, while another box may still act as the holder. Two holders together
 # stay within one and a half times the limit.
-GRANTED_PART = 0.9
+GRANTED_FRACTION = 0.9
 FIRST_PART = 0.6
 FIRST_S = 4.0
 
 # Minimum rate in requests per second, whatever the limit. An endpoint with a
 # limit of 0 is sent no requests otherwise, and its answers would never announce
 # a higher one.
-LEAST_PER_S = 0.5
+MIN_RATE_PER_S = 0.5
 
 # Capacity of the bucket, and its capacity at the minimum rate. With a larger
 # one, or with this one at the minimum rate, two holders would exceed the limit.
-MOST_KEPT = 2.0
-MOST_KEPT_SLOW = 1.0
+MAX_TOKENS = 2.0
+MAX_TOKENS_AT_MIN_RATE = 1.0
 
 # Tolerance for rounding errors in the token count.
-ROUNDING = 1e-6
+EPSILON = 1e-6
 
 # Maximum delay, in seconds, after which a refused box is told to retry.
 LONGEST_TURN_S = 2.0
@@ -34,7 +34,7 @@
 
 def binding(limit_per_s: float | None) -> float | None:
     """Returns the limit if it has to be enforced, else None."""
-    if limit_per_s is None or limit_per_s >= MOST_PER_S:
+    if limit_per_s is None or limit_per_s >= MAX_LIMIT_PER_S:
         return None
     return limit_per_s
 
@@ -51,10 +51,10 @@
         Args:
             now: The current time.
         """
-        self._began = now
-        self._kept = 0.0
-        self._counted_at = now
-        self._last_turn = now
+        self._started_at = now
+        self._tokens = 0.0
+        self._refilled_at = now
+        self._last_retry_at = now
 
     def take(self, limit_per_s: float, heard_part: float, now: float) -> float:
         """Grants a request if a token is available.
@@ -71,14 +71,14 @@
             get successive retry times, so that they do not all retry at once
             for the same token.
         """
-        per_s = self._count(limit_per_s, heard_part, now)
-        if self._kept >= 1.0 - ROUNDING:
-            self._kept -= 1.0
+        per_s = self._refill(limit_per_s, heard_part, now)
+        if self._tokens >= 1.0 - EPSILON:
+            self._tokens -= 1.0
             return 0.0
-        next_s = (1.0 - self._kept) / per_s
-        turn = max(now + next_s, self._last_turn + 1.0 / per_s)
-        self._last_turn = min(turn, now + max(next_s, LONGEST_TURN_S))
-        return self._last_turn - now
+        refill_s = (1.0 - self._tokens) / per_s
+        retry_at = max(now + refill_s, self._last_retry_at + 1.0 / per_s)
+        self._last_retry_at = min(retry_at, now + max(refill_s, LONGEST_TURN_S))
+        return self._last_retry_at - now
 
     def room(self, limit_per_s: float, now: float) -> int:
         """Returns the number of available tokens if all boxes are reachable.
@@ -87,21 +87,25 @@
             limit_per_s: The endpoint's limit.
             now: The current time.
         """
-        self._count(limit_per_s, 1.0, now)
-        return int(self._kept + ROUNDING)
+        self._refill(limit_per_s, 1.0, now)
+        return int(self._tokens + EPSILON)
 
-    def _count(
+    def _refill(
         self, limit_per_s: float, heard_part: float, now: float
     ) -> float:
         """Refills the bucket; returns the rate in requests per second."""
-        part = FIRST_PART if now - self._began < FIRST_S else GRANTED_PART
-        per_s = max(LEAST_PER_S, limit_per_s * part * heard_part)
-        most = MOST_KEPT if per_s > LEAST_PER_S else MOST_KEPT_SLOW
-        gained = max(0.0, now - self._counted_at) * per_s
-        self._kept = min(most, self._kept + gained)
-        self._counted_at = max(now, self._counted_at)
+        fraction = (
+            FIRST_PART if now - self._started_at < FIRST_S else GRANTED_FRACTION
+        )
+        per_s = max(MIN_RATE_PER_S, limit_per_s * fraction * heard_part)
+        max_tokens = (
+            MAX_TOKENS if per_s > MIN_RATE_PER_S else MAX_TOKENS_AT_MIN_RATE
+        )
+        added = max(0.0, now - self._refilled_at) * per_s
+        self._tokens = min(max_tokens, self._tokens + added)
+        self._refilled_at = max(now, self._refilled_at)
         return per_s
 
     def put_back(self) -> None:
         """Returns the token of an unused grant."""
-        self._kept += 1.0
+        self._tokens += 1.0
--- a/martenjunction/decisions/policies.py
+++ b/martenjunction/decisions/policies.py
@@ -24,14 +24,14 @@
 
 # Maximum thread CPU time of a call in seconds. Completed calls are measured
 # too, since a single instruction may copy a long list.
-LONGEST_CALL = 0.02
+MAX_CALL_S = 0.02
 
 REFUSED_OPERATORS = frozenset({"*", "*=", "**", "<<", "<<="})
 
 # Consecutive failures before a program is suspended, and the number of calls
 # for which it is then skipped.
 MAX_FAILURES = 20
-PAUSE_CALLS = 1000
+SKIPPED_CALLS = 1000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -69,16 +69,16 @@
         }
 
 
-class Budget:
+class StepBudget:
     """Limits the number of the interpreter's cancellation checks."""
 
     def __init__(self, steps: int) -> None:
-        self._left = steps
+        self._steps_left = steps
 
-    def spent(self) -> bool:
+    def exhausted(self) -> bool:
         """Counts a check; returns whether the program must be cancelled."""
-        self._left -= 1
-        return self._left < 0
+        self._steps_left -= 1
+        return self._steps_left < 0
 
 
 class Program:
@@ -107,7 +107,7 @@
         self._calls = 0
         self._failures = 0
         self._failures_in_a_row = 0
-        self._skip = 0
+        self._calls_to_skip = 0
         self._last_error = ""
         self._clock = clock
         self._module, self._hooks = _load(name, source)
@@ -157,8 +157,8 @@
     def _call(self, hook: str, facts: RequestFacts) -> object:
         if hook not in self._hooks:
             return None
-        if self._skip > 0:
-            self._skip -= 1
+        if self._calls_to_skip > 0:
+            self._calls_to_skip -= 1
             return None
         self._calls += 1
         started = self._clock()
@@ -172,16 +172,16 @@
         except BaseException as error:
             # An interpreter panic is not a subclass of Exception. Like any
             # other failure, it must not propagate to the request.
-            failure = _one_line(str(error))
-        slow = self._clock() - started > LONGEST_CALL
+            failure = _summarize_error(str(error))
+        slow = self._clock() - started > MAX_CALL_S
         if slow:
-            failure = failure or f"{hook} took longer than {LONGEST_CALL} s"
+            failure = failure or f"{hook} took longer than {MAX_CALL_S} s"
         if failure:
             self._fail(failure)
         else:
             self._failures_in_a_row = 0
         if slow:
-            self._rest()
+            self._suspend()
         return answer
 
     def _fail(self, message: str) -> None:
@@ -189,11 +189,11 @@
         self._failures_in_a_row += 1
         self._last_error = message
         if self._failures_in_a_row >= MAX_FAILURES:
-            self._rest()
+            self._suspend()
 
-    def _rest(self) -> None:
+    def _suspend(self) -> None:
         self._failures_in_a_row = 0
-        self._skip = PAUSE_CALLS
+        self._calls_to_skip = SKIPPED_CALLS
         logger.warning("policy %s is temporarily suspended", self._name)
 
 
@@ -210,7 +210,7 @@
     except KeyboardInterrupt:
         raise
     except BaseException as error:
-        raise errors.PolicyError(_one_line(str(error))) from error
+        raise errors.PolicyError(_summarize_error(str(error))) from error
 
 
 def _defines(module: starlark.Module, name: str) -> bool:
@@ -239,16 +239,16 @@
 
 def _options() -> starlark.EvalOptions:
     return starlark.EvalOptions(
-        check_cancelled=Budget(STEP_BUDGET).spent,
+        check_cancelled=StepBudget(STEP_BUDGET).exhausted,
         max_callstack_size=CALL_DEPTH,
     )
 
 
-def _one_line(message: str) -> str:
+def _summarize_error(message: str) -> str:
     """Extracts the reason and its location from an interpreter error."""
     lines = [line.strip() for line in message.splitlines() if line.strip()]
     reasons = [line for line in lines if line.startswith("error:")]
-    places = [line[4:] for line in lines if line.startswith("-->")]
+    locations = [line[4:] for line in lines if line.startswith("-->")]
     text = (reasons or lines or ["failed without a message"])[0]
     text = text.removeprefix("error:").strip()
-    return f"{text} ({places[-1]})" if places else text
+    return f"{text} ({locations[-1]})" if locations else text
--- a/tests/test_cell_limits.py
+++ b/tests/test_cell_limits.py
@@ -41,7 +41,7 @@
     Returns:
         The time and endpoint of each grant.
     """
-    made: list[tuple[float, str]] = []
+    grants: list[tuple[float, str]] = []
     running: list[tuple[float, str, str]] = []
     for step in range(round(seconds / STEP_S)):
         now = began + step * STEP_S
@@ -59,30 +59,30 @@
         cell.review(now)
         for grant in cell.step(now):
             if isinstance(grant, asks.Grant):
-                made.append((now, grant.endpoint))
+                grants.append((now, grant.endpoint))
                 running.append((now + RUN_S, grant.request_id, grant.endpoint))
-    return made
+    return grants
 
 
-def times(made: list[tuple[float, str]], endpoint: str) -> list[float]:
-    return [at for at, name in made if name == endpoint]
+def times(grants: list[tuple[float, str]], endpoint: str) -> list[float]:
+    return [at for at, name in grants if name == endpoint]
 
 
 def test_endpoint_is_granted_no_more_than_its_limit_and_most_of_it() -> None:
     cell = builders.cell(endpoints=2, slots=4)
-    made = play(cell, {"e1": 2.0, "e2": None}, 0.0, 20.0)
-    granted = [at for at in times(made, "e1") if at > 1.0]
+    grants = play(cell, {"e1": 2.0, "e2": None}, 0.0, 20.0)
+    granted = [at for at in times(grants, "e1") if at > 1.0]
     most = limit_outcome.most_in_window(granted)
     assert most <= limit_outcome.allowed(2.0)
     assert len(granted) >= 0.5 * 2.0 * 19.0
-    assert len(times(made, "e2")) > 10 * len(granted)
+    assert len(times(grants, "e2")) > 10 * len(granted)
 
 
 def test_endpoint_whose_limit_is_removed_receives_requests_again() -> None:
     cell = builders.cell(endpoints=2, slots=4)
     play(cell, {"e1": 2.0, "e2": None}, 0.0, 8.0)
-    made = play(cell, {"e1": None, "e2": None}, 8.0, 4.0)
-    assert len([at for at in times(made, "e1") if at > 10.0]) > 20
+    grants = play(cell, {"e1": None, "e2": None}, 8.0, 4.0)
+    assert len([at for at in times(grants, "e1") if at > 10.0]) > 20
 
 
 def test_very_high_limit_is_ignored() -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -21,34 +21,34 @@
 
 
 def test_a_key_is_claimed_once() -> None:
-    held = table.ClaimTable()
-    assert held.claim(claim("k", "r1"), 0.0) == "claimed"
-    assert held.claim(claim("k", "r1"), 1.0) == "claimed"
-    assert held.claim(claim("k", "r2"), 1.0) == "in-progress"
-    assert held.settle(settle("k", "r1", ran=True), 2.0)
-    assert held.claim(claim("k", "r2"), 3.0) == "ran"
+    claims = table.ClaimTable()
+    assert claims.claim(claim("k", "r1"), 0.0) == "claimed"
+    assert claims.claim(claim("k", "r1"), 1.0) == "claimed"
+    assert claims.claim(claim("k", "r2"), 1.0) == "in-progress"
+    assert claims.settle(settle("k", "r1", ran=True), 2.0)
+    assert claims.claim(claim("k", "r2"), 3.0) == "ran"
 
 
 def test_a_request_that_did_not_run_releases_its_key() -> None:
-    held = table.ClaimTable()
-    held.claim(claim("k", "r1"), 0.0)
-    assert not held.settle(settle("k", "r2", ran=False), 1.0)
-    assert held.settle(settle("k", "r1", ran=False), 1.0)
-    assert held.claim(claim("k", "r2"), 2.0) == "claimed"
+    claims = table.ClaimTable()
+    claims.claim(claim("k", "r1"), 0.0)
+    assert not claims.settle(settle("k", "r2", ran=False), 1.0)
+    assert claims.settle(settle("k", "r1", ran=False), 1.0)
+    assert claims.claim(claim("k", "r2"), 2.0) == "claimed"
 
 
 def test_claims_expire() -> None:
-    held = table.ClaimTable()
-    held.claim(claim("k", "r1"), 0.0)
-    assert held.claim(claim("k", "r2"), table.LIFETIME + 1) == "claimed"
+    claims = table.ClaimTable()
+    claims.claim(claim("k", "r1"), 0.0)
+    assert claims.claim(claim("k", "r2"), table.CLAIM_TTL_S + 1) == "claimed"
 
 
 def test_a_full_shard_rejects_new_claims() -> None:
-    held = table.ClaimTable()
+    claims = table.ClaimTable()
     for number in range(table.MAX_CLAIMS):
-        held.claim(claim(f"k{number}", "r"), 0.0)
-    assert held.claim(claim("more", "r"), 0.0) == "unavailable"
-    assert held.claim(claim("k0", "r"), 0.0) == "claimed"
+        claims.claim(claim(f"k{number}", "r"), 0.0)
+    assert claims.claim(claim("more", "r"), 0.0) == "unavailable"
+    assert claims.claim(claim("k0", "r"), 0.0) == "claimed"
 
 
 @pytest.fixture
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -85,7 +85,7 @@
     """Facts whose conversion sleeps, as if waiting for a core."""
 
     def as_dict(self) -> dict[str, object]:
-        time.sleep(2 * policies.LONGEST_CALL)
+        time.sleep(2 * policies.MAX_CALL_S)
         return super().as_dict()
 
 
