--- a/martenjunction/cells/__init__.py
+++ b/martenjunction/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Cells: who owns them, how they are asked, and the owner's task."""
+"""Cells: ownership, the entry daemon's client, and the owner's task."""
--- a/martenjunction/decisions/cells/__init__.py
+++ b/martenjunction/decisions/cells/__init__.py
@@ -1,1 +1,1 @@
-"""What the owner of a cell decides: queues, grants, placement, shedding."""
+"""Scheduling in a cell: queues, grants, placement and shedding."""
--- a/martenjunction/decisions/cells/tiers.py
+++ b/martenjunction/decisions/cells/tiers.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TierSettings:
-    """How freed slots are shared between tiers.
+    """Settings for sharing freed slots between tiers.
 
     Attributes:
         share: Fraction of the granted work that is guaranteed to a waiting
--- a/martenjunction/decisions/endpoint_states.py
+++ b/martenjunction/decisions/endpoint_states.py
@@ -5,7 +5,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint receives requests.
+    """The routing states of an endpoint.
 
     Attributes:
         PENDING: Listed; no load report received yet.
--- a/martenjunction/decisions/grant_bucket.py
+++ b/martenjunction/decisions/grant_bucket.py
@@ -28,7 +28,7 @@
 # Tolerance for rounding errors in the token count.
 EPSILON = 1e-6
 
-# Maximum delay, in seconds, after which a refused box is told to retry.
+# Maximum retry delay, in seconds, returned to a refused box.
 LONGEST_TURN_S = 2.0
 
 
--- a/martenjunction/decisions/outcomes.py
+++ b/martenjunction/decisions/outcomes.py
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """How far a request got.
+    """Outcomes of a request.
 
     Attributes:
         NOT_RUN: No byte reached an endpoint, or the endpoint refused the
