--- a/tests/builders.py
+++ b/tests/builders.py
@@ -28,12 +28,14 @@
     settings: dispatcher.DispatchSettings | None = None,
 ) -> dispatcher.Dispatcher:
     """Returns a dispatcher whose endpoints have reported their load."""
-    made = dispatcher.Dispatcher(settings or dispatcher.DispatchSettings())
+    dispatcher_under_test = dispatcher.Dispatcher(
+        settings or dispatcher.DispatchSettings()
+    )
     for number in range(1, endpoints + 1):
         name = f"e{number}"
-        made.set_endpoint(name, slots, 0.0)
-        made.report(asks.LoadReport(name, 0.0, 0, 0), 0.0)
-    return made
+        dispatcher_under_test.set_endpoint(name, slots, 0.0)
+        dispatcher_under_test.report(asks.LoadReport(name, 0.0, 0, 0), 0.0)
+    return dispatcher_under_test
 
 
 def end(
--- a/tests/test_cell_rests.py
+++ b/tests/test_cell_rests.py
@@ -25,9 +25,9 @@
 
 def grants(cell: dispatcher.Dispatcher, now: float) -> list[tuple[str, str]]:
     return [
-        (made.request_id, made.endpoint)
-        for made in cell.step(now)
-        if isinstance(made, asks.Grant)
+        (decision.request_id, decision.endpoint)
+        for decision in cell.step(now)
+        if isinstance(decision, asks.Grant)
     ]
 
 
--- a/tests/test_policies.py
+++ b/tests/test_policies.py
@@ -15,14 +15,14 @@
 
 
 def test_classify_and_place() -> None:
-    made = program(
+    policy = program(
         "def classify(request):\n"
         "    return 'bulk' if request['prompt_tokens'] > 50 else None\n"
         "def place(request):\n"
         "    return ['a', 'b']\n"
     )
-    assert made.classify(FACTS) == "bulk"
-    assert made.place(FACTS) == ("a", "b")
+    assert policy.classify(FACTS) == "bulk"
+    assert policy.place(FACTS) == ("a", "b")
 
 
 def test_parse_error_names_line_and_column() -> None:
@@ -43,10 +43,10 @@
     ],
 )
 def test_bad_program_returns_none(body: str) -> None:
-    made = program(f"def classify(request):\n    {body}\n")
-    assert made.classify(FACTS) is None
-    assert made.failures == 1
-    assert made.last_error
+    policy = program(f"def classify(request):\n    {body}\n")
+    assert policy.classify(FACTS) is None
+    assert policy.failures == 1
+    assert policy.last_error
 
 
 @pytest.mark.parametrize("operator", ["*", "<<"])
@@ -61,10 +61,10 @@
 
 
 def test_failing_program_is_suspended() -> None:
-    made = program("def classify(request):\n    fail('no')\n")
+    policy = program("def classify(request):\n    fail('no')\n")
     for _ in range(policies.MAX_FAILURES + 10):
-        made.classify(FACTS)
-    assert made.calls == policies.MAX_FAILURES
+        policy.classify(FACTS)
+    assert policy.calls == policies.MAX_FAILURES
 
 
 def test_slow_call_that_fails_is_one_failure() -> None:
@@ -72,13 +72,13 @@
     # exhausts its steps on a busy machine ("failures" was 2 instead of 1 in
     # one of 31 runs).
     times = iter([0.0, 1.0])
-    made = policies.Program(
+    policy = policies.Program(
         "p", "def classify(request):\n    fail('no')\n", lambda: next(times)
     )
-    assert made.classify(FACTS) is None
-    assert made.failures == 1
-    assert made.classify(FACTS) is None
-    assert made.calls == 1
+    assert policy.classify(FACTS) is None
+    assert policy.failures == 1
+    assert policy.classify(FACTS) is None
+    assert policy.calls == 1
 
 
 class SleepingFacts(policies.RequestFacts):
@@ -90,19 +90,19 @@
 
 
 def test_time_without_cpu_is_not_counted_against_a_program() -> None:
-    made = program("def classify(request):\n    return 'a'\n")
+    policy = program("def classify(request):\n    return 'a'\n")
     facts = SleepingFacts("agents", "quote", "loom-llm", 100, 0, "quote")
-    assert made.classify(facts) == "a"
-    assert made.classify(FACTS) == "a"
-    assert made.failures == 0
+    assert policy.classify(facts) == "a"
+    assert policy.classify(FACTS) == "a"
+    assert policy.failures == 0
 
 
 def test_slow_program_is_suspended_at_once() -> None:
     times = iter([0.0, 1.0])
-    made = policies.Program(
+    policy = policies.Program(
         "p", "def classify(request):\n    return 'a'\n", lambda: next(times)
     )
-    made.classify(FACTS)
-    assert made.classify(FACTS) is None
-    assert made.calls == 1
-    assert "longer" in made.last_error
+    policy.classify(FACTS)
+    assert policy.classify(FACTS) is None
+    assert policy.calls == 1
+    assert "longer" in policy.last_error
