--- a/martenjunction/decisions/endpoint_states.py
+++ b/martenjunction/decisions/endpoint_states.py
@@ -129,10 +129,11 @@
 
     def trial_due(self, now: float) -> bool:
         """Returns whether an ejected endpoint may get a half-open probe."""
-        pause = min(
-            FIRST_PAUSE * 2.0 ** max(0, self.ejections - 1), LONGEST_PAUSE
+        delay = min(
+            INITIAL_PROBE_DELAY_S * 2.0 ** max(0, self.ejections - 1),
+            MAX_PROBE_DELAY_S,
         )
-        return now - self.ejected_at >= pause
+        return now - self.ejected_at >= delay
 
     def _extend_ejection(self, now: float) -> None:
         self.ejected_at = now
@@ -149,8 +150,8 @@
 RATIO_WEIGHT = 0.3
 
 # Initial and maximum delay before a half-open probe, in seconds.
-FIRST_PAUSE = 2.0
-LONGEST_PAUSE = 60.0
+INITIAL_PROBE_DELAY_S = 2.0
+MAX_PROBE_DELAY_S = 60.0
 
 # Maximum fraction of a cell's endpoints that is ejected at once.
 MAX_EJECTED = 0.34
--- a/martenjunction/decisions/retries.py
+++ b/martenjunction/decisions/retries.py
@@ -41,11 +41,11 @@
         attempt: Number of the retry, from 1.
         jitter: A random number between 0 and 1.
     """
-    return min(FIRST_PAUSE * 2.0 ** (attempt - 1), LONGEST_PAUSE) * jitter
+    return min(INITIAL_BACKOFF_S * 2.0 ** (attempt - 1), MAX_BACKOFF_S) * jitter
 
 
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 # Maximum consecutive attempts without progress, including the first.
 MAX_ATTEMPTS = 3
