--- a/martenjunction/http1/__init__.py
+++ b/martenjunction/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections: bytes by tornado, syntax by h11."""
+"""HTTP/1.1 client and server: I/O with tornado, parsing with h11."""
--- a/martenjunction/http1/client.py
+++ b/martenjunction/http1/client.py
@@ -1,7 +1,7 @@
-"""One kept connection to an HTTP/1.1 server.
+"""A keep-alive connection to an HTTP/1.1 server.
 
-Nothing is ever sent twice: whoever holds the connection decides what a
-failure means.
+The connection never retries a request; its owner decides how to handle a
+failure.
 """
 
 import asyncio
@@ -21,29 +21,30 @@
 from martenjunction.http1 import peeks
 from martenjunction.http1 import streams
 
-# Largest head of an answer, in bytes.
+# Maximum size of a response head, in bytes.
 MAX_HEAD_BYTES = 64 * 1024
 
-# Seconds for which what had come by a time-out may still be read after it:
-# some passes of the event loop after a hold-up.
+# Seconds after a timeout in which data that had already arrived may still be
+# read: a few iterations of the event loop after it was blocked.
 READY_GRACE_S = 0.1
 
 _KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+(?:\.\d+)?)", re.IGNORECASE)
 
 
 class ClientConnection:
-    """A connection that carries one request at a time."""
+    """A client connection that carries one request at a time."""
 
     def __init__(
         self,
         address: str,
         on_head: Callable[[messages.ResponseHead], None] = lambda head: None,
     ) -> None:
-        """Makes a connection that is not open yet.
+        """Initializes the connection without opening it.
 
         Args:
             address: IP address and port, such as `10.0.0.1:80`.
-            on_head: Told of the head of each answer, whatever it answers.
+            on_head: Called with the head of every final response, including
+                responses to other requests.
         """
         self._address = address
         self._on_head = on_head
@@ -60,37 +61,38 @@
 
     @property
     def address(self) -> str:
-        """The server's address."""
+        """The server's IP address and port."""
         return self._address
 
     @property
     def idle_since(self) -> float:
-        """Steady clock when its last answer ended."""
+        """Monotonic time at which the last response was complete."""
         return self._idle_since
 
     @property
     def closed(self) -> bool:
-        """Whether it was closed on this side."""
+        """Whether this side closed the connection."""
         return self._closed
 
     async def open(self, timeout_s: float) -> None:
-        """Connects.
+        """Opens the connection.
 
         Args:
-            timeout_s: Seconds to wait.
+            timeout_s: Connect timeout in seconds.
 
         Raises:
-            NoSocketError: If this box has no socket for it.
-            PortRefusedError: If nobody listens there.
-            ConnectError: If there is no connection; nothing was sent.
+            NoSocketError: If this box cannot create a socket.
+            PortRefusedError: If the connection is refused.
+            ConnectError: If the connection fails; nothing was sent.
         """
         host, port = addresses.split_address(self._address)
         stream = _new_stream()
         self._stream = stream
         try:
             connecting = stream.connect((host, port))
-            # A wait looks at the connection after its time-out: one that was
-            # made while the loop was held up counts.
+            # Unlike wait_for, wait leaves the future to be checked after the
+            # timeout: a connection that was established while the event loop
+            # was blocked still counts.
             await asyncio.wait([connecting], timeout=timeout_s)
             if not connecting.done():
                 raise TimeoutError
@@ -98,22 +100,24 @@
         except OSError as error:
             self.abort()
             if _is_refusal(error):
-                raise errors.PortRefusedError(f"{host} refuses") from error
-            raise errors.ConnectError(f"no connection to {host}") from error
+                raise errors.PortRefusedError(
+                    f"{host} refused the connection"
+                ) from error
+            raise errors.ConnectError(f"cannot connect to {host}") from error
         except asyncio.CancelledError:
             self.abort()
             raise
         if self._closed:
-            raise errors.ConnectError("given up")
+            raise errors.ConnectError("aborted while connecting")
         self._source = streams.ByteSource(stream)
         self._idle_since = time.monotonic()
 
     @property
     def readable(self) -> bool:
-        """Whether bytes or an end came that nobody has taken yet.
+        """Whether unread data or an end of the connection is pending.
 
-        It asks the socket as well: while the loop was held up, nobody has
-        seen what came. It takes a system call.
+        Also peeks at the socket, with one system call: the event loop does not
+        see what arrives while it is blocked.
         """
         if self._source is None or self._stream is None:
             return False
@@ -122,21 +126,21 @@
         return peeks.peek(self._stream.socket) is not peeks.Waiting.NOTHING
 
     def is_quiet(self) -> bool:
-        """Returns whether it can carry a request, by the socket's own word."""
+        """Returns whether it is reusable and its socket has nothing pending."""
         return self.is_reusable() and not self.readable
 
     @contextlib.asynccontextmanager
     async def answer_within(self, timeout_s: float) -> AsyncIterator[None]:
-        """Bounds the wait for an answer by time and by the socket's state.
+        """Limits the time to wait for a response.
 
-        What has come by the time-out may still be read: after a hold-up of
-        the loop both are due in one pass.
+        Data that has arrived by the timeout may still be read: after the event
+        loop was blocked, both are due in the same iteration.
 
         Args:
-            timeout_s: Seconds to wait.
+            timeout_s: Timeout in seconds.
 
         Raises:
-            TimeoutError: If there is no answer in time.
+            TimeoutError: If no response arrives in time.
         """
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(None) as limit:
@@ -152,7 +156,7 @@
                 timer.cancel()
 
     def is_reusable(self) -> bool:
-        """Returns whether the loop has seen no byte and no end on it."""
+        """Returns whether it is open and the event loop saw nothing pending."""
         return (
             not self._closed
             and self._stream is not None
@@ -168,19 +172,19 @@
         headers: messages.Headers,
         body: bytes,
     ) -> None:
-        """Hands a whole request to the socket.
+        """Writes a complete request to the socket.
 
         Args:
-            method: The method.
+            method: HTTP method.
             target: Path and query.
-            headers: All headers, with the length of the body.
-            body: The whole body.
+            headers: All headers, including those of framing.
+            body: The complete body.
 
         Raises:
-            ConnectError: If the connection had ended; nothing was sent.
+            ConnectError: If the connection is closed; nothing was sent.
         """
         if not self.is_reusable() or self._stream is None:
-            raise errors.ConnectError("the connection had ended")
+            raise errors.ConnectError("the connection is closed")
         request = h11.Request(method=method, target=target, headers=headers)
         data = self._parser.send(request) or b""
         if body:
@@ -191,15 +195,15 @@
         try:
             written = self._stream.write(data)
         except iostream.StreamClosedError as error:
-            raise errors.ConnectError("the connection had ended") from error
+            raise errors.ConnectError("the connection is closed") from error
         written.add_done_callback(streams.swallow)
 
     async def read_head(self) -> messages.ResponseHead:
-        """Waits for the head of the next answer; interim ones are skipped.
+        """Reads the head of the next final response; skips interim responses.
 
         Raises:
-            ConnectionLostError: If the connection ended first.
-            HttpSyntaxError: If the bytes are no answer.
+            ConnectionLostError: If the connection is closed before it.
+            HttpSyntaxError: If the data is not a valid response.
         """
         while True:
             event = await self._next_event()
@@ -209,41 +213,42 @@
                 self._on_head(self._head)
                 return self._head
             if isinstance(event, h11.ConnectionClosed):
-                raise errors.ConnectionLostError("closed before an answer")
+                raise errors.ConnectionLostError("closed before a response")
             if not isinstance(event, h11.InformationalResponse):
-                raise errors.HttpSyntaxError("not an answer")
+                raise errors.HttpSyntaxError("expected a response head")
 
     async def read_body(self) -> bytes:
-        """Returns the next bytes of the body, none at its regular end.
+        """Returns the next part of the body, or empty bytes at its end.
 
         Raises:
-            ConnectionLostError: If the connection ended within the body.
-            HttpSyntaxError: If the bytes are no answer.
+            ConnectionLostError: If the connection is closed within the body.
+            HttpSyntaxError: If the data is not a valid response.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b""
-        raise errors.ConnectionLostError("closed within an answer")
+        raise errors.ConnectionLostError("closed within a response")
 
     def expect_another_answer(self) -> None:
-        """Makes ready to read one more answer to the request that was sent.
+        """Prepares to read one more response to the request that was sent.
 
-        A server may send an answer to an earlier request first.
+        A server may first send a stale response to an earlier request.
 
         Raises:
-            ConnectionLostError: If the server ends the connection instead.
+            ConnectionLostError: If the server closes the connection instead.
         """
         if self._head is None or self._head.closes or self._request is None:
-            raise errors.ConnectionLostError("closed after a foreign answer")
+            raise errors.ConnectionLostError("closed after a stale response")
         rest, ended = self._parser.trailing_data
         if ended:
-            raise errors.ConnectionLostError("closed after a foreign answer")
+            raise errors.ConnectionLostError("closed after a stale response")
         parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        # The parser must know the method; what was sent stays sent.
+        # The new parser needs the method to frame the response. Its output is
+        # discarded: nothing is sent again.
         parser.send(
             h11.Request(
                 method=self._request.method,
@@ -257,11 +262,11 @@
         self._parser = parser
 
     def finish(self) -> bool:
-        """Ends an exchange after the whole answer was read.
+        """Finishes an exchange whose response was read completely.
 
         Returns:
-            Whether the connection can carry another request; if it can't, it
-            is closed.
+            Whether the connection can carry another request; otherwise it is
+            closed.
         """
         head = self._head
         rest, ended = self._parser.trailing_data
@@ -286,18 +291,18 @@
         try:
             self._source.prefetch()
         except OSError:
-            # The answer is whole; only the connection is lost.
+            # The response is complete; only the connection is lost.
             self.abort()
             return False
         self._idle_since = time.monotonic()
         return True
 
     def kept_for(self) -> float | None:
-        """Returns for how long the server keeps it idle, if it said so."""
+        """Returns the server's keep-alive timeout in seconds, if announced."""
         return self._head.keep_alive_s if self._head is not None else None
 
     def abort(self) -> None:
-        """Closes the connection at once; a read under way fails."""
+        """Closes the connection immediately; a pending read fails."""
         self._closed = True
         if self._source is not None:
             self._source.abort()
@@ -321,14 +326,16 @@
             try:
                 self._parser.receive_data(data)
             except RuntimeError as error:
-                raise errors.ConnectionLostError("closed twice") from error
+                raise errors.ConnectionLostError(
+                    "data after the end of the connection"
+                ) from error
 
 
 def _new_stream() -> iostream.IOStream:
-    """Returns a stream that is not connected yet.
+    """Returns a stream over a new, unconnected socket.
 
     Raises:
-        NoSocketError: If there is no socket for it.
+        NoSocketError: If no socket can be created.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -339,7 +346,7 @@
 
 
 def _is_refusal(error: OSError) -> bool:
-    """Returns whether a connection was refused, by the system's word."""
+    """Returns whether the error is or wraps ECONNREFUSED."""
     if isinstance(error, iostream.StreamClosedError):
         return isinstance(error.real_error, ConnectionRefusedError)
     return isinstance(error, ConnectionRefusedError)
--- a/martenjunction/http1/closings.py
+++ b/martenjunction/http1/closings.py
@@ -1,4 +1,4 @@
-"""Why connections from clients end, as told to whoever keeps the log."""
+"""Reports on closed client connections, for the log."""
 
 from collections.abc import Callable
 import dataclasses
@@ -8,7 +8,7 @@
 
 
 class CloseReason(enum.StrEnum):
-    """Who ended a connection from a client, and why."""
+    """Reason for which a client connection was closed."""
 
     IDLE = "idle-timeout"
     SLOW_HEAD = "header-timeout"
@@ -23,18 +23,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClosedConnection:
-    """How a connection from a client ended.
+    """Report on a client connection that was closed.
 
     Attributes:
-        server: Name of the server that it came to.
-        reason: Why it ended.
+        server: Name of the server that accepted it.
+        reason: Why it was closed.
         client: The client's IP address and port.
-        rested_s: Seconds since its last answer, or since it was accepted.
-        answered: Requests that got a whole answer on it.
-        under_way: Whether a request was taken from it and has no whole answer.
-        bytes_waiting: Whether bytes of a request had come that nobody read.
-        request: A request that was read in full when the connection had
-            already ended, or None.
+        rested_s: Seconds since its last response, or since it was accepted.
+        answered: Number of requests that got a complete response on it.
+        under_way: Whether an accepted request has no complete response.
+        bytes_waiting: Whether received bytes of a request are unread.
+        request: A request that was read completely only after the connection
+            was closed, or None.
     """
 
     server: str
@@ -51,4 +51,4 @@
 
 
 def ignore(closed: ClosedConnection) -> None:
-    """Tells nobody."""
+    """Ignores the report."""
--- a/martenjunction/http1/connection_state.py
+++ b/martenjunction/http1/connection_state.py
@@ -1,10 +1,10 @@
-"""The states of a connection from a client."""
+"""State machine of a client connection."""
 
 import enum
 
 
 class State(enum.Enum):
-    """What is under way on a connection."""
+    """State of a connection."""
 
     RESTING = "resting"
     READING = "reading"
@@ -13,7 +13,7 @@
 
 
 class Event(enum.Enum):
-    """What happens on a connection."""
+    """Event that may change the state of a connection."""
 
     BYTES_CAME = "bytes-came"
     REQUEST_TAKEN = "request-taken"
@@ -21,8 +21,8 @@
     CLOSED = "closed"
 
 
-# Whatever is not here leaves the state as it is: nothing is taken from a
-# connection that has been closed.
+# Any other event leaves the state unchanged: no request is accepted from a
+# closed connection.
 _NEXT = {
     (State.RESTING, Event.BYTES_CAME): State.READING,
     (State.READING, Event.REQUEST_TAKEN): State.SERVING,
@@ -34,5 +34,5 @@
 
 
 def after(state: State, event: Event) -> State:
-    """Returns the state that follows an event."""
+    """Returns the state after an event."""
     return _NEXT.get((state, event), state)
--- a/martenjunction/http1/framing.py
+++ b/martenjunction/http1/framing.py
@@ -1,18 +1,18 @@
-"""Whether a request's length can be told in one way only."""
+"""Checks that the framing of a request is unambiguous."""
 
 from martenjunction.http1 import messages
 from martenjunction.http1 import request_errors
 
 
 def check(request: messages.Request, max_body_bytes: int) -> None:
-    """Refuses what two readers could take for different messages.
+    """Rejects framing that two parsers could interpret differently.
 
     Args:
-        request: The request, its head read.
-        max_body_bytes: Largest body.
+        request: The request, with its head read.
+        max_body_bytes: Maximum size of the body.
 
     Raises:
-        RequestSyntaxError: If it is refused.
+        RequestSyntaxError: If the framing is ambiguous or the body too large.
     """
     names = [name.lower() for name, _ in request.headers]
     coded = names.count(b"transfer-encoding")
--- a/martenjunction/http1/messages.py
+++ b/martenjunction/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as data, free of any connection."""
+"""Requests, response heads and limits, independent of a connection."""
 
 import dataclasses
 from typing import TypeAlias
@@ -7,7 +7,7 @@
 
 Headers: TypeAlias = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only, as they stand on the wire.
+# Hop-by-hop headers, in lower case.
 HOP_BY_HOP = frozenset(name.encode() for name in http_headers.HOP_BY_HOP)
 
 
@@ -25,11 +25,11 @@
 
 
 def without(headers: Headers, dropped: frozenset[bytes]) -> Headers:
-    """Returns headers less some names and those of the connection.
+    """Returns headers without given names and without hop-by-hop headers.
 
     Args:
         headers: Names and values.
-        dropped: Names in lower case.
+        dropped: Names to remove, in lower case.
     """
     named: set[bytes] = set()
     for key, value in headers:
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """A request that was read in full.
+    """A request that was read completely.
 
     Attributes:
-        method: As sent.
-        target: Path and query, byte for byte as sent.
-        headers: Names as sent, values.
-        body: The whole body, without its transfer coding.
-        received_at: Steady clock, when its head was complete.
+        method: HTTP method, as received.
+        target: Path and query, byte for byte as received.
+        headers: Names, as received, and values.
+        body: The complete body, without its transfer coding.
+        received_at: Monotonic time at which its head was complete.
     """
 
     method: bytes
@@ -59,21 +59,22 @@
 
     @property
     def path(self) -> bytes:
-        """The target without its query."""
+        """Target without its query."""
         return self.target.partition(b"?")[0]
 
 
 @dataclasses.dataclass(slots=True)
 class ResponseHead:
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
     Attributes:
-        status: The HTTP status.
-        headers: Names as sent, values.
-        keep_alive_s: Seconds for which the server keeps the connection idle,
-            or None if it did not say.
-        closes: Whether the server ends the connection after the answer.
-        asked_at: Steady clock when the request was sent that it came after.
+        status: HTTP status.
+        headers: Names, as received, and values.
+        keep_alive_s: Keep-alive timeout of the server in seconds, or None if
+            it announced none.
+        closes: Whether the server closes the connection after the response.
+        asked_at: Monotonic time at which the last request before the response
+            was sent.
     """
 
     status: int
@@ -97,13 +98,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What clients may send, and how long they may take.
+    """Size and time limits for clients.
 
     Attributes:
-        max_header_bytes: Largest request head.
-        max_body_bytes: Largest body.
-        header_timeout_s: Seconds from a head's first byte to its last.
-        idle_timeout_s: Seconds for which a kept connection may rest.
+        max_header_bytes: Maximum size of a request head.
+        max_body_bytes: Maximum size of a request body.
+        header_timeout_s: Seconds from the first byte of a head to its last.
+        idle_timeout_s: Seconds for which a connection may stay idle.
     """
 
     max_header_bytes: int = 16 * 1024
--- a/martenjunction/http1/peeks.py
+++ b/martenjunction/http1/peeks.py
@@ -1,11 +1,11 @@
-"""What waits in a socket, without taking it."""
+"""Peeks at the receive buffer of a socket."""
 
 import enum
 import socket
 
 
 class Waiting(enum.Enum):
-    """What a read of a socket would bring."""
+    """Result that a read of a socket would have."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
@@ -13,13 +13,13 @@
 
 
 def peek(sock: socket.socket | None) -> Waiting:
-    """Returns what waits in a socket; it takes one system call.
+    """Returns what a read of a socket would return, with one system call.
 
-    The event loop learns of it only in its next pass, and not at all while it
-    is held up.
+    The event loop sees pending data only in its next iteration, and not at all
+    while it is blocked.
 
     Args:
-        sock: A connected socket, or None for one that was closed.
+        sock: A connected socket, or None if it was closed.
     """
     if sock is None:
         return Waiting.END
@@ -28,6 +28,6 @@
     except BlockingIOError:
         return Waiting.NOTHING
     except OSError:
-        # The connection was reset: a read would tell so.
+        # The connection was reset; a read would raise the same error.
         return Waiting.END
     return Waiting.BYTES if waiting else Waiting.END
--- a/martenjunction/http1/request_errors.py
+++ b/martenjunction/http1/request_errors.py
@@ -1,14 +1,14 @@
-"""Why a request that came to a server is not handed on."""
+"""Errors for requests that a server does not pass to its handler."""
 
 from martenjunction import errors
 from martenjunction.http1 import messages
 
 
 class RequestSyntaxError(errors.HttpSyntaxError):
-    """A request is refused before it is read in full.
+    """A request is rejected before it is read completely.
 
     Attributes:
-        status: The HTTP status to answer with.
+        status: HTTP status of the response.
     """
 
     def __init__(self, status: int, message: str) -> None:
@@ -17,12 +17,14 @@
 
 
 class RequestNotTakenError(errors.ConnectionLostError):
-    """The connection had ended when its request was read in full.
+    """A request was read completely after its connection was closed.
 
     Attributes:
-        request: The request, which nobody waits for.
+        request: The request, whose client no longer waits for it.
     """
 
     def __init__(self, request: messages.Request) -> None:
         self.request = request
-        super().__init__("the connection ended before its request was taken")
+        super().__init__(
+            "the connection was closed before its request was accepted"
+        )
--- a/martenjunction/http1/server.py
+++ b/martenjunction/http1/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server that hands on requests byte for byte."""
+"""An HTTP/1.1 server that passes requests unchanged to a handler."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,7 +19,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Connections that may wait to be accepted.
+# Maximum length of the queue of connections to accept.
 BACKLOG = 1024
 
 Handler = Callable[
@@ -37,14 +37,15 @@
         limits: Callable[[], messages.ClientLimits] = messages.ClientLimits,
         on_closed: closings.OnClosed = closings.ignore,
     ) -> None:
-        """Makes a server; `listen_on` begins.
+        """Initializes the server; `listen_on` starts it.
 
         Args:
-            name: Names it in the log.
-            handler: Answers one request; called with its connection.
-            limits: Returns what clients may send at the moment.
-            on_closed: Told of connections that did not end as usual: by their
-                client, or after an answer that said so.
+            name: Name of the server in the log.
+            handler: Called with the connection and each request; sends the
+                response.
+            limits: Returns the current limits for clients.
+            on_closed: Called for each connection that was not closed by its
+                client or after a response that announced the close.
         """
         super().__init__(max_buffer_size=streams.MAX_BUFFER_BYTES)
         self._name = name
@@ -57,11 +58,11 @@
 
     @property
     def connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def listen_on(self, address: str) -> None:
-        """Begins to listen.
+        """Starts to listen.
 
         Args:
             address: IP address and port.
@@ -71,11 +72,11 @@
 
     @property
     def ended(self) -> bool:
-        """Whether it was told to finish and no connection is left."""
+        """Whether `finish` was called and no connection is open."""
         return self._finishing and not self._connections
 
     def finish(self) -> None:
-        """Stops listening and ends connections once nothing is under way."""
+        """Stops listening and closes each connection once it is idle."""
         self.stop()
         self._finishing = True
         for connection in list(self._connections):
@@ -83,11 +84,11 @@
         self._note_ended()
 
     async def wait_ended(self) -> None:
-        """Waits until no connection is left; `finish` comes first."""
+        """Waits until no connection is open; call `finish` first."""
         await self._ended.wait()
 
     def close_all(self) -> None:
-        """Stops listening and ends every connection at once."""
+        """Stops listening and closes all connections immediately."""
         self.stop()
         for connection in list(self._connections):
             connection.abort(closings.CloseReason.STOPPED)
@@ -95,10 +96,10 @@
     def handle_stream(
         self, stream: iostream.IOStream, address: tuple[str, int]
     ) -> Awaitable[None]:
-        """Takes a connection in at once, and serves it until it ends."""
+        """Registers a connection and returns the task that serves it."""
         streams.tune(stream.socket)
         connection = server_connection.ServerConnection(stream, self._limits)
-        # Before its task first runs, so that no stop overlooks it.
+        # Registered before its task first runs, so that a shutdown sees it.
         self._connections.add(connection)
         if self._finishing:
             connection.end_when_idle()
@@ -115,10 +116,10 @@
             closing = connection.closing(self._name)
             self._on_closed(dataclasses.replace(closing, request=error.request))
         except errors.ConnectionLostError:
-            # The client left; whoever served it has noted that.
+            # The client disconnected; the handler has recorded that.
             reason = closings.CloseReason.CLIENT
         except Exception:
-            logger.exception("%s: a connection failed", self._name)
+            logger.exception("%s: failed to serve a connection", self._name)
         finally:
             connection.abort(reason)
             self._connections.discard(connection)
@@ -130,12 +131,12 @@
     async def _serve(
         self, connection: server_connection.ServerConnection
     ) -> closings.CloseReason:
-        """Serves requests until the last; returns why it was the last."""
+        """Serves all requests; returns why the connection is to be closed."""
         while True:
             try:
                 request = await connection.read_request()
             except request_errors.RequestSyntaxError as error:
-                logger.info("%s: request refused: %s", self._name, error)
+                logger.info("%s: request rejected: %s", self._name, error)
                 await connection.answer(error.status, [], b"", close=True)
                 return closings.CloseReason.REFUSED
             if request is None:
@@ -151,23 +152,23 @@
         connection: server_connection.ServerConnection,
         request: messages.Request,
     ) -> None:
-        """Has a request answered, also where its handler gives no answer.
+        """Calls the handler; responds with 502 if it sends no response.
 
         Raises:
-            ConnectionLostError: If the client left.
+            ConnectionLostError: If the client disconnected.
         """
         try:
             await self._handler(connection, request)
         except errors.ConnectionLostError:
             raise
         except Exception:
-            logger.exception("%s: a handler failed", self._name)
+            logger.exception("%s: the handler raised an exception", self._name)
         if not connection.unanswered or connection.answering:
             return
         if not connection.closed:
-            # It may have run: no answer may promise the contrary, and none at
-            # all leaves the client to guess.
-            logger.error("%s: a request was given no answer", self._name)
+            # The request may have been executed: the response must not promise
+            # the contrary, and without one the client could not tell.
+            logger.error("%s: the handler sent no response", self._name)
             await connection.answer(502, [], b"", close=True)
 
     def _note_ended(self) -> None:
@@ -175,7 +176,7 @@
             self._ended.set()
 
 
-# Ends that need no line of their own.
+# Expected reasons, which are not reported.
 _USUAL = frozenset(
     {closings.CloseReason.CLIENT, closings.CloseReason.LAST_ANSWER}
 )
--- a/martenjunction/http1/server_connection.py
+++ b/martenjunction/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a client, which may carry many requests."""
+"""Server side of a persistent HTTP/1.1 connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,15 +17,16 @@
 from martenjunction.http1 import request_errors
 from martenjunction.http1 import streams
 
-# Seconds for which a body may make no progress.
+# Maximum seconds between two reads of a request body.
 BODY_TIMEOUT_S = 10.0
 
-# Seconds after which a time limit that ended beside bytes is looked at again:
-# by then the reader has taken them.
+# Seconds by which a timeout is extended that expires while bytes are unread:
+# enough for the reader to consume them.
 SECOND_LOOK_S = 0.1
 
-# Seconds for which a request that is coming in may still do so once its
-# connection is to end: half a body held up a planned stop of 4 s to its limit.
+# Seconds within which a partly received request must be complete once its
+# connection is shutting down: without this limit, an incomplete body delayed a
+# graceful shutdown of 4 s until its deadline.
 STOP_READ_S = 1.0
 
 _State = connection_state.State
@@ -35,11 +36,12 @@
 
 
 class ServerConnection:
-    """A connection from a client, which may carry many requests.
+    """A client connection that may carry several requests.
 
-    One state says what is under way. Whoever closes the connection and whoever
-    takes a request from it asks that state, so that a request is taken from an
-    open connection only, and one that was taken is not closed by a time limit.
+    A single state is checked both before the connection is closed and before a
+    request is accepted from it. A request is therefore accepted only from an
+    open connection, and no timeout closes the connection while the request is
+    served.
     """
 
     def __init__(
@@ -47,11 +49,11 @@
         stream: iostream.IOStream,
         limits: Callable[[], messages.ClientLimits],
     ) -> None:
-        """Takes over an accepted stream.
+        """Initializes the connection over an accepted stream.
 
         Args:
-            stream: The stream.
-            limits: Returns what the client may do at the moment.
+            stream: The accepted stream.
+            limits: Returns the current limits for clients.
         """
         self._stream = stream
         self._limits = limits
@@ -74,38 +76,38 @@
 
     @property
     def answering(self) -> bool:
-        """Whether the head of an answer was sent for this request."""
+        """Whether a response head was sent for the current request."""
         return self._answering
 
     @property
     def unanswered(self) -> bool:
-        """Whether a request was taken that has no whole answer yet."""
+        """Whether an accepted request has no complete response yet."""
         return self._unanswered
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self._state is _State.CLOSED or self._stream.closed()
 
     def closing(self, server: str) -> closings.ClosedConnection:
-        """Returns how the connection ended, or how it stands if it is open.
+        """Returns a report on the closed, or still open, connection.
 
         Args:
-            server: Name of the server that it came to.
+            server: Name of the server that accepted it.
         """
         closing = self._closing or self._describe(closings.CloseReason.CLIENT)
         return dataclasses.replace(closing, server=server)
 
     async def read_request(self) -> messages.Request | None:
-        """Waits for a request and reads it in full.
+        """Waits for a request and reads it completely.
 
         Returns:
             The request, or None if the client closed the connection.
 
         Raises:
             RequestSyntaxError: If it is malformed, too large or too slow.
-            RequestNotTakenError: If the connection ended while it was read.
-            ConnectionLostError: If the client went away within it.
+            RequestNotTakenError: If the connection was closed meanwhile.
+            ConnectionLostError: If the client disconnected within it.
         """
         head = await self._read_head()
         if head is None:
@@ -129,7 +131,7 @@
         return request
 
     def watch_end(self, callback: Callable[[], None] | None) -> None:
-        """Has a callback called when the client leaves before its answer."""
+        """Sets the callback for a client that disconnects, or None."""
         self._source.on_end(callback)
 
     async def answer(
@@ -139,16 +141,16 @@
         body: bytes,
         close: bool = False,
     ) -> None:
-        """Sends a whole answer.
+        """Sends a complete response.
 
         Args:
-            status: The HTTP status.
-            headers: Headers less those of framing.
+            status: HTTP status.
+            headers: Headers without those of framing.
             body: The body.
-            close: Whether the connection ends after it.
+            close: Whether to close the connection after the response.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         length = (b"Content-Length", str(len(body)).encode())
         self._send_head(status, [*headers, length], close)
@@ -160,32 +162,32 @@
     async def begin(
         self, status: int, headers: messages.Headers, close: bool = False
     ) -> None:
-        """Sends the head of an answer whose length is not known.
+        """Sends the head of a response of unknown length.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         self._send_head(status, headers, close)
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the body; waits while the client does not read.
+        """Sends a part of the body; waits until the socket accepted it.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         await self._flush(self._data(data))
 
     async def end(self) -> None:
-        """Marks the answer as complete.
+        """Completes the response.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         await self._flush(self._parser.send(h11.EndOfMessage()) or b"")
         self._note_answered()
 
     def next_request(self) -> bool:
-        """Makes ready for the next request; returns whether there may be."""
+        """Prepares for the next request; returns whether one may follow."""
         self._answering = False
         if self._last or self.closed:
             return False
@@ -202,10 +204,10 @@
         return not (self._ending and self._close_if_resting())
 
     def end_when_idle(self) -> None:
-        """Ends the connection, once nothing is under way on it.
+        """Closes the connection as soon as it is idle.
 
-        A request that is being read, or whose bytes are here, is still served;
-        its answer says that it is the last.
+        A request that is partly read or has unread bytes is still served; its
+        response announces the close.
         """
         if not self._ending:
             self._ending = True
@@ -214,10 +216,10 @@
         self._close_if_resting()
 
     def abort(self, reason: closings.CloseReason) -> None:
-        """Closes the connection; what is in the socket still goes out.
+        """Closes the connection; data in the socket's buffer is still sent.
 
         Args:
-            reason: Why; the first reason holds.
+            reason: Reason for the report; the first call determines it.
         """
         self._set_timer(None)
         if self._closing is None and not self._stream.closed():
@@ -269,7 +271,7 @@
                 size += len(event.data)
                 if size > self._limits().max_body_bytes:
                     raise request_errors.RequestSyntaxError(
-                        413, "the body is too large"
+                        413, "request body too large"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 self._set_timer(None)
@@ -278,7 +280,7 @@
                 self._set_timer(BODY_TIMEOUT_S, closings.CloseReason.SLOW_BODY)
                 self._parser.receive_data(await self._source.take())
             else:
-                raise errors.ConnectionLostError("closed within a body")
+                raise errors.ConnectionLostError("closed within a request body")
 
     def _send_head(
         self, status: int, headers: messages.Headers, close: bool
@@ -303,7 +305,7 @@
         try:
             written = self._stream.write(data)
         except iostream.StreamClosedError as error:
-            raise errors.ConnectionLostError("the client is gone") from error
+            raise errors.ConnectionLostError("client disconnected") from error
         written.add_done_callback(streams.swallow)
         return written
 
@@ -314,7 +316,7 @@
         try:
             await asyncio.shield(written)
         except iostream.StreamClosedError as error:
-            raise errors.ConnectionLostError("the client is gone") from error
+            raise errors.ConnectionLostError("client disconnected") from error
 
     def _set_timer(
         self,
@@ -332,11 +334,11 @@
             self._timer = loop.call_later(seconds, self._on_time_limit, reason)
 
     def _on_time_limit(self, reason: closings.CloseReason) -> None:
-        """Closes the connection, unless what it waited for is here."""
+        """Closes the connection unless the awaited bytes have arrived."""
         if self._source.bytes_waiting:
-            # After a hold-up of the event loop the time ends in the pass that
-            # takes the bytes in: the request would be passed on and its
-            # connection closed without an answer.
+            # After the event loop was blocked, the timeout expires in the same
+            # iteration that reads the bytes: the request would be passed on
+            # and its connection closed without a response.
             self._set_timer(SECOND_LOOK_S, reason)
             return
         left = self._idle_time_left()
@@ -346,25 +348,26 @@
         self.abort(reason)
 
     def _idle_time_left(self) -> float:
-        """Returns seconds for which it may rest, by the limits of now."""
+        """Returns the remaining idle time in seconds, by current limits."""
         rested = time.monotonic() - self._rested_since
         return self._limits().idle_timeout_s - rested
 
     def _take(self, request: messages.Request) -> None:
-        """Takes a request from the connection while that is open.
+        """Accepts a request if the connection is still open.
 
         Raises:
-            RequestNotTakenError: If it has ended.
+            RequestNotTakenError: If the connection is closed.
         """
-        # A reader that was woken before the end goes on from its buffer: 12 of
-        # 12 requests were handed on so, each with nobody to answer.
+        # A reader that was woken before the close continues from its buffer:
+        # without this check, 12 of 12 requests were passed on although no
+        # response could be sent.
         if self.closed:
             raise request_errors.RequestNotTakenError(request)
         self._note(_Event.REQUEST_TAKEN)
         self._unanswered = True
 
     def _close_if_resting(self) -> bool:
-        """Closes it if nothing is under way; returns whether it is closed."""
+        """Closes an idle connection; returns whether it is closed."""
         if self._state is _State.RESTING and not self._source.bytes_waiting:
             self.abort(closings.CloseReason.STOPPED)
         return self.closed
--- a/martenjunction/http1/streams.py
+++ b/martenjunction/http1/streams.py
@@ -1,4 +1,4 @@
-"""Reads from a socket that may be abandoned without losing bytes."""
+"""Socket options and cancellable reads that lose no data."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,23 +11,24 @@
 from martenjunction import errors
 from martenjunction.http1 import peeks
 
-# Bytes taken from a socket at once.
+# Maximum bytes per read of a socket.
 CHUNK_BYTES = 64 * 1024
 
-# Most bytes that one connection may hold unread or unsent.
+# Maximum bytes that one connection may buffer unread or unsent.
 MAX_BUFFER_BYTES = 16 * 1024 * 1024
 
-# Milliseconds after which unacknowledged bytes end a connection (tcp(7)).
+# Milliseconds for which sent data may stay unacknowledged (tcp(7)).
 USER_TIMEOUT_MS = 3000
 
-# Seconds without traffic before probes, and between them (tcp(7)).
+# Seconds without traffic before the first keep-alive probe, seconds between
+# probes, and number of unanswered probes that end a connection (tcp(7)).
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
 
 
 def tune(sock: socket.socket) -> None:
-    """Sets the options that let a silent peer be noticed within seconds."""
+    """Sets socket options that detect an unreachable peer in seconds."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
@@ -41,7 +42,7 @@
 
 
 def peer_address(stream: iostream.IOStream) -> str:
-    """Returns the peer's IP address and port, or no text if it has gone."""
+    """Returns the peer's IP address and port, or "" if disconnected."""
     try:
         host, port = stream.socket.getpeername()
     except OSError:
@@ -50,20 +51,20 @@
 
 
 def swallow(future: "asyncio.Future[Any]") -> None:
-    """Marks a failed read or write as seen; whoever waits still gets it."""
+    """Marks a future's exception as retrieved; awaiting still raises it."""
     if not future.cancelled():
         future.exception()
 
 
 class ByteSource:
-    """The reading side of a connection.
+    """The receiving side of a connection.
 
-    One read is kept under way and survives a reader that is cancelled, so
-    that an end of the connection is noticed while nobody reads.
+    A single pending read survives the cancellation of its reader, so that no
+    data is lost and a disconnect is noticed while no task is reading.
     """
 
     def __init__(self, stream: iostream.IOStream) -> None:
-        """Makes a source.
+        """Initializes the source.
 
         Args:
             stream: A connected stream.
@@ -75,12 +76,12 @@
 
     @property
     def disturbed(self) -> bool:
-        """Whether bytes or an end came that nobody has asked for yet."""
+        """Whether a read finished whose result was not consumed yet."""
         return self._pending is not None and self._pending.done()
 
     @property
     def bytes_waiting(self) -> bool:
-        """Whether bytes came that nobody has taken, also in the socket."""
+        """Whether unread bytes are in the buffer or in the socket."""
         if self._pending is not None and self._pending.done():
             failed = self._pending.cancelled() or self._pending.exception()
             return not failed
@@ -89,12 +90,12 @@
         return peeks.peek(self._stream.socket) is peeks.Waiting.BYTES
 
     def prefetch(self) -> None:
-        """Begins the next read without waiting for it."""
+        """Starts the next read without waiting for it."""
         if self._pending is not None:
             return
         pending: asyncio.Future[bytes]
         try:
-            # Tornado's futures are those of asyncio.
+            # Tornado's futures are asyncio futures.
             pending = cast(
                 "asyncio.Future[bytes]",
                 self._stream.read_bytes(CHUNK_BYTES, partial=True),
@@ -106,10 +107,12 @@
         pending.add_done_callback(swallow)
 
     def on_end(self, callback: Callable[[], None] | None) -> None:
-        """Has a callback called when the connection ends, or if it has ended.
+        """Sets the callback for the end of the connection.
+
+        It is also called if the connection has already ended.
 
         Args:
-            callback: Called without arguments, or None for no call.
+            callback: Called without arguments; None removes the callback.
         """
         self._ended = callback
         if callback is None:
@@ -119,10 +122,11 @@
         self._pending.add_done_callback(self._on_done)
 
     async def take(self) -> bytes:
-        """Waits for bytes.
+        """Waits for data.
 
         Returns:
-            Some bytes, or none at a regular end of the connection.
+            The data received, or empty bytes if the peer closed the
+            connection in an orderly way.
 
         Raises:
             ConnectionLostError: If the connection was reset or aborted.
@@ -139,12 +143,12 @@
             return b""
         self._pending = None
         if self._aborted:
-            # Whoever closed the connection decided that nothing is taken.
+            # Data that arrived before the abort is discarded.
             raise errors.ConnectionLostError("aborted")
         return data
 
     def abort(self) -> None:
-        """Closes the connection; a read under way fails."""
+        """Closes the connection; a pending read fails."""
         self._aborted = True
         self._stream.close()
 
--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -1,14 +1,14 @@
-"""Connections that carry several requests, driven by hand."""
+"""A minimal client over keep-alive connections for tests."""
 
 import asyncio
 import socket
 
-# Seconds that a test waits for what must come.
+# Timeout in seconds for expected responses and closes.
 PATIENCE_S = 20.0
 
 
 class KeptConnection:
-    """A client's connection; its bytes leave without the event loop."""
+    """A client connection that sends without the event loop."""
 
     def __init__(self) -> None:
         self._socket = socket.socket()
@@ -22,11 +22,11 @@
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> None:
-        """Hands bytes to the system at once; the event loop need not run."""
+        """Sends bytes synchronously, without the event loop."""
         self._socket.send(data)
 
     async def answer(self) -> bytes:
-        """Returns the next answer with a length, or what came before an end."""
+        """Returns the next response, or the bytes received before the close."""
         async with asyncio.timeout(PATIENCE_S):
             while (whole := self._whole()) is None:
                 data = await self._receive()
@@ -37,7 +37,7 @@
         return answer
 
     async def ended(self) -> bool:
-        """Waits for the end of the connection; returns whether it was quiet."""
+        """Waits for the close; returns whether no data came before it."""
         async with asyncio.timeout(PATIENCE_S):
             return await self._receive() == b""
 
@@ -65,7 +65,7 @@
 async def kept(
     address: str, count: int, request: bytes
 ) -> list[KeptConnection]:
-    """Returns connections that have carried a request each."""
+    """Returns connections that have each carried one request."""
     made = [KeptConnection() for _ in range(count)]
     for connection in made:
         await connection.connect(address)
@@ -76,7 +76,7 @@
 
 
 async def served(made: list[KeptConnection]) -> int:
-    """Returns how many connections get a whole 200 next, and closes all."""
+    """Reads one response per connection and closes all; counts the 200s."""
     answers = [await connection.answer() for connection in made]
     for connection in made:
         connection.close()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Connections of HTTP/1.1: framing, ends, and what must not be sent twice."""
+"""HTTP/1.1 connections: framing, limits, closes and lost connections."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,7 +21,7 @@
 
 
 class Echo:
-    """Answers with what it got, and remembers it."""
+    """Echoes and records the requests it receives."""
 
     def __init__(self) -> None:
         self.got: list[messages.Request] = []
@@ -57,7 +57,7 @@
 
 
 async def raw(address: str, data: bytes) -> bytes:
-    """Sends bytes and returns all that comes until the connection ends."""
+    """Sends bytes and returns all data until the connection is closed."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(data)
@@ -171,7 +171,7 @@
 
 
 async def answering(data: bytes, reset: bool = False) -> asyncio.Server:
-    """Returns a server that sends fixed bytes and ends the connection."""
+    """Returns a server that sends fixed bytes and closes the connection."""
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -254,7 +254,7 @@
         request: messages.Request,
     ) -> None:
         if fails:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("handler bug")
 
     listening = server.Server("test", handler=handle)
     address = bench.free_address()
--- a/tests/test_kept_connection_orders.py
+++ b/tests/test_kept_connection_orders.py
@@ -1,9 +1,9 @@
-"""Orders in which requests, ends, time limits and a stop meet on connections.
+"""Random interleavings of requests, closes, timeouts and shutdown.
 
-What is promised: a request that was whole at the box while its connection was
-open gets a whole answer, unless its client left or was told that the answer
-before was the last; a handler is never given a request on a closed connection;
-and nothing is left over.
+Properties: a request that the box received completely while its connection was
+open gets a complete response, unless its client disconnected or an earlier
+response announced the close; a handler never gets a request on a closed
+connection; no task and no connection is left over.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 IDLE_S = 0.12
 PATIENCE_S = 20.0
 
-# Passes of the event loop in which what is under way comes to rest.
+# Iterations of the event loop after which pending callbacks have run.
 PASSES = 8
 
 LISTEN_TRIES = 10
@@ -57,7 +57,7 @@
 
 
 class Client:
-    """A client in the same thread: what it sent is at the server's system."""
+    """A client with synchronous I/O in the thread of the server."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.partition(":")
@@ -72,7 +72,7 @@
         self.due: list[int] = []
 
     def send(self, data: bytes) -> bool:
-        """Sends bytes; returns whether all left while it was open."""
+        """Sends bytes; returns whether all were sent while it was open."""
         self.receive()
         if self.gone or self.ended or self.spoiled:
             return False
@@ -110,13 +110,13 @@
 
     @property
     def told(self) -> bool:
-        """Whether it was told that an answer was the last."""
+        """Whether a response announced the close of the connection."""
         return b"onnection: close" in self.received
 
 
 @dataclasses.dataclass
 class Scene:
-    """A server, its clients, and what happened."""
+    """A server, its clients and the recorded requests."""
 
     address: str = ""
     clients: list[Client] = dataclasses.field(default_factory=list)
@@ -199,7 +199,7 @@
 
 
 def _listen(scene: Scene) -> None:
-    """Begins to listen; another process may take a free port first."""
+    """Starts to listen; retries if another process takes the port."""
     for _ in range(LISTEN_TRIES):
         scene.address = bench.free_address()
         try:
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -1,18 +1,15 @@
-"""Requests that meet the end of their kept connection.
+"""Requests that race with the close of their keep-alive connection.
 
-Symptom: requests on kept connections were passed on to an endpoint, given up
-within a millisecond, and their connections closed without an answer.
+Guards against requests that are passed to an endpoint, cancelled within a
+millisecond, and whose connections are closed without a response.
 
-Sequence: the event loop is held up. Meanwhile a request arrives, and the idle
-time of its connection ends, or its client goes away. In the next pass the
-socket's bytes are taken in first, then the timer closes the stream. The reader,
-already woken, parses the request out of its buffer and hands it on; the handler
-sends it to an endpoint, sees that the connection has ended, and gives it up.
-
-Cause: whether a connection may be closed, and whether a request was taken from
-it, were decided in two places with no state between them.
-
-What settled it, from a box held up by 250 ms at a time:
+The event loop is blocked (by 250 ms at a time on the box where this was seen).
+Meanwhile a request arrives and the idle timeout of its connection expires, or
+its client disconnects. The next iteration reads the socket, then the timer
+closes the stream. The reader, already woken, parses the request from its
+buffer and passes it on; the handler sends it to an endpoint, sees the closed
+connection and cancels the request. The decisions to close the connection and
+to accept a request shared no state. The log then shows:
 
     connection-closed   why=idle-timeout rested_ms=15059.9 answered=1
                         bytes_waiting=true
@@ -43,7 +40,7 @@
 
 
 class Handler:
-    """Answers each request after a while, and counts those it was given."""
+    """Responds after a short delay and records the requests."""
 
     def __init__(self) -> None:
         self.got: list[bytes] = []
--- a/tests/test_kept_connections_process.py
+++ b/tests/test_kept_connections_process.py
@@ -1,23 +1,19 @@
-"""Requests on kept connections of boxes that end them at the same moment.
-
-Symptom: requests on connections that had carried others reached a replica,
-which found them given up before it ran them; the clients' connections were
-closed without an answer.
-
-Sequence: a box stands still for some tens of milliseconds. Meanwhile requests
-come in on kept connections, and the time comes at which the box ends these
-connections: their idle time, or the end of a planned stop. When the box goes
-on, it does both.
-
-Cause: whether a connection may be closed and whether a request was taken from
-it were decided in two places with no state between them. A reader that had
-been woken took the request from its buffer after the connection was closed.
-At the end of a planned stop, requests were ended and connections closed before
-the former could write their answer.
-
-Figures: the tallies in the assertions' messages. `lost` are requests that
-reached a replica and whose connection was closed without an answer; `untaken`
-reached no replica and may be sent again.
+"""Requests that race with a box closing their keep-alive connections.
+
+Guards against requests that reach a replica, are cancelled before it executes
+them, and whose connections are closed without a response.
+
+A box process is paused for some tens of milliseconds. Meanwhile requests
+arrive on keep-alive connections, and these connections reach their idle
+timeout or the end of a graceful shutdown. When the box resumes, it handles
+both. The decisions to close a connection and to accept a request shared no
+state, so that a reader that was already woken took a request from its buffer
+after the close. At the end of a graceful shutdown, requests were cancelled and
+connections closed before the responses could be written.
+
+Assertion messages contain tallies: `lost` requests reached a replica and had
+their connection closed without a response; `untaken` ones reached no replica
+and may be retried.
 """
 
 import asyncio
@@ -40,35 +36,35 @@
 
 logger = logging.getLogger(__name__)
 
-# Seconds for which requests wait at a replica: they are under way when the
-# connections end.
+# Seconds for which requests queue at a replica: they are in flight when the
+# connections are closed.
 QUEUE_S = 0.02
 
-# Seconds of the target of all routes.
+# Response time target of all routes, in seconds.
 TARGET_S = 0.2
 
-# Seconds after which everything that a box sent has been read.
+# Seconds after which all data sent by a box has been read.
 SETTLE_S = 0.3
 
-# Seconds for which a process stands still, shortest and longest.
+# Minimum and maximum seconds for which a process is paused.
 HOLDS_S = (0.02, 0.15)
 
-# Seconds between two times at which it stands still.
+# Minimum and maximum seconds between two pauses.
 GAPS_S = (0.005, 0.08)
 
-# Seconds from an answer to the next request on a connection, and the limit
-# after which a box ends an idle connection.
+# Idle timeout of a box in seconds, and minimum and maximum seconds from a
+# response to the next request on a connection.
 IDLE_S = 0.3
 RESTS_S = (0.2, 0.295)
 
-# Idle rounds of a box.
+# Rounds of idling and sending per box.
 ROUNDS = 12
 
 PATHS = ("/safe/x", "/unsafe/x", "/chat/x", "/open/x")
 SHORT_PATHS = ("/safe/x", "/unsafe/x", "/open/x")
 
-# Requests whose replicas do not end them: one that waits before it runs, and
-# streams that fall silent after some events.
+# Requests that their replicas never complete: one that queues, and streams
+# that stall after some events.
 QUEUED = "/unsafe/queued"
 MUTE = "/chat/mute"
 BEGUN = "/chat/begun"
@@ -88,7 +84,7 @@
 
 
 class Site:
-    """Boxes as processes, and the clients of each."""
+    """Box processes and the clients of each."""
 
     def __init__(self, fleet: boxes.Boxes, folder: pathlib.Path) -> None:
         self.fleet = fleet
@@ -126,7 +122,7 @@
         return made
 
     async def assert_none_lost(self) -> None:
-        """Fails unless every request that was taken got its whole answer."""
+        """Fails unless each accepted request got a complete response."""
         await asyncio.sleep(SETTLE_S)
         records = [rec for made in self.clients for rec in made.records]
         found = kept_clients.tally(records, self.fleet.replicas)
@@ -142,7 +138,7 @@
         assert not faults, f"{found}: {await self._lines_of(faults)}"
 
     async def _lines_of(self, ids: set[str]) -> list[dict[str, object]]:
-        """Returns what boxes that have ended wrote of requests."""
+        """Returns the log lines of stopped boxes about given requests."""
         logs = [await box.log() for box in self.boxes if not box.running]
         return [line for log in logs for line in log if line.get("id") in ids]
 
@@ -192,7 +188,7 @@
     count: int,
     seconds: float,
 ) -> None:
-    """Has requests come in while a process stands still."""
+    """Sends requests while a process is paused."""
     with box.held_up():
         sent = clients.send(count)
         await asyncio.sleep(seconds)
@@ -207,7 +203,7 @@
         await asyncio.sleep(rng.uniform(*GAPS_S))
 
 
-# The idle time.
+# Idle timeout.
 
 
 async def rest_and_send(
@@ -235,7 +231,7 @@
     await site.assert_none_lost()
 
 
-# A planned stop.
+# Graceful shutdown.
 
 
 async def send_until_ended(
@@ -245,9 +241,9 @@
     kept: int,
     reopen: bool,
 ) -> None:
-    """Sends requests, a few at a time, while the box stands still.
+    """Sends requests in small batches while the box is paused.
 
-    Between them the box has nothing to do, so that its stop may end at once.
+    The box is idle between batches, so that its shutdown may end at any time.
     """
     rng = random.Random(seed)
     await clients.open(kept)
@@ -269,8 +265,8 @@
 async def test_requests_that_meet_the_end_of_a_stop_are_answered_or_untaken(
     site: Site, obey_close: bool, kept: int, reopen: bool
 ) -> None:
-    # A client that obeys uses each of its connections once after the signal:
-    # they have rested since before it.
+    # A client that obeys the close uses each connection once after the signal;
+    # the connections were idle before it.
     await site.start(4)
     await asyncio.gather(
         *(
@@ -310,7 +306,7 @@
 async def test_stop_under_steady_traffic_cuts_nothing_off(
     site: Site, obey_close: bool
 ) -> None:
-    # There is always something to do: the stop goes on to its limit.
+    # The box is never idle: the shutdown lasts until its deadline.
     await site.start(4, stop_s=5.0)
     await asyncio.gather(
         *(
@@ -329,10 +325,10 @@
 async def test_stop_before_slow_endpoints_cuts_nothing_off(
     site: Site,
 ) -> None:
-    # A request that a box took 0.25 s before the limit of its stop, for a
-    # target of 0.2 s, was cut off there with 504 after 268 ms at its endpoint,
-    # on a busy machine: it was taken as long as its target fitted into what was
-    # left. Here all endpoints take one and a half times the target.
+    # Requests used to be accepted as long as their target fitted into the time
+    # left: on a busy machine, a request with a target of 0.2 s, accepted 0.25 s
+    # before the shutdown deadline, was cut off with 504 after 268 ms at its
+    # endpoint. Here all endpoints take one and a half times the target.
     for stand_in in site.fleet.replicas:
         stand_in.queue_s = 1.5 * TARGET_S
     await site.start(2, stop_s=5.0)
@@ -345,11 +341,11 @@
     await site.assert_none_lost()
 
 
-# All at once.
+# Shutdown, reload, restart and configuration change together.
 
 
 async def change_all(site: Site, rng: random.Random) -> None:
-    """Stops and reloads one box, restarts another, changes the limits."""
+    """Stops, reloads and restarts boxes and changes the limits."""
     leaving, restarted, staying = site.boxes
     steps: list[Callable[[], None]] = [
         lambda: leaving.signal(signal.SIGTERM),
@@ -394,14 +390,14 @@
     await site.assert_none_lost()
 
 
-# The limit of a planned stop.
+# Deadline of a graceful shutdown.
 
 
 async def receive_held(site: Site, path: str) -> list[kept_clients.Record]:
-    """Stops a box that holds requests which their replicas do not end.
+    """Stops a box with requests that their replicas never complete.
 
     Returns:
-        How they ended; each was on a connection that had carried another.
+        Records of these requests, each sent on a reused connection.
     """
     box = site.boxes[0]
     clients = site.add_clients(box, 1, (path,))
@@ -432,7 +428,7 @@
     await site.start(1, stop_s=2.0)
     records = await receive_held(site, path)
     fates = [(record.fate, record.status) for record in records]
-    # 503 would promise that it did not run, which the box does not know.
+    # 503 would state that it was not executed, which the box cannot know.
     wanted = {
         (kept_clients.Fate.REFUSED, 502),
         (kept_clients.Fate.REFUSED, 504),
