--- a/martenjunction/endpoints/attempt.py
+++ b/martenjunction/endpoints/attempt.py
@@ -72,7 +72,7 @@
                     return head
                 while await self._connection.read_body():
                     pass
-                self._connection.expect_another_answer()
+                self._connection.expect_another_response()
         except errors.TransportError as error:
             self.abort()
             raise errors.EndpointBrokenError(str(error)) from error
--- a/martenjunction/endpoints/pool.py
+++ b/martenjunction/endpoints/pool.py
@@ -195,5 +195,5 @@
 
 
 def _keep_s(connection: client.ClientConnection) -> float:
-    told = connection.kept_for()
+    told = connection.keep_alive_timeout()
     return DEFAULT_KEEP_S if told is None else told
--- a/martenjunction/http1/client.py
+++ b/martenjunction/http1/client.py
@@ -28,7 +28,9 @@
 # read: a few iterations of the event loop after it was blocked.
 READY_GRACE_S = 0.1
 
-_KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+(?:\.\d+)?)", re.IGNORECASE)
+_KEEP_ALIVE_TIMEOUT = re.compile(
+    rb"timeout\s*=\s*(\d+(?:\.\d+)?)", re.IGNORECASE
+)
 
 
 class ClientConnection:
@@ -121,7 +123,7 @@
         """
         if self._source is None or self._stream is None:
             return False
-        if self._source.disturbed or self._stream.closed():
+        if self._source.has_pending_result or self._stream.closed():
             return True
         return peeks.peek(self._stream.socket) is not peeks.Waiting.NOTHING
 
@@ -143,13 +145,13 @@
             TimeoutError: If no response arrives in time.
         """
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(None) as limit:
+        async with asyncio.timeout(None) as deadline:
 
-            def end() -> None:
+            def expire() -> None:
                 grace_s = READY_GRACE_S if self.readable else 0.0
-                limit.reschedule(loop.time() + grace_s)
+                deadline.reschedule(loop.time() + grace_s)
 
-            timer = loop.call_later(timeout_s, end)
+            timer = loop.call_later(timeout_s, expire)
             try:
                 yield
             finally:
@@ -162,7 +164,7 @@
             and self._stream is not None
             and not self._stream.closed()
             and self._source is not None
-            and not self._source.disturbed
+            and not self._source.has_pending_result
         )
 
     def send(
@@ -196,7 +198,7 @@
             written = self._stream.write(data)
         except iostream.StreamClosedError as error:
             raise errors.ConnectError("the connection is closed") from error
-        written.add_done_callback(streams.swallow)
+        written.add_done_callback(streams.retrieve_exception)
 
     async def read_head(self) -> messages.ResponseHead:
         """Reads the head of the next final response; skips interim responses.
@@ -208,7 +210,7 @@
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
-                self._head = _head_of(event)
+                self._head = _parse_head(event)
                 self._head.asked_at = self._sent_at
                 self._on_head(self._head)
                 return self._head
@@ -231,7 +233,7 @@
             return b""
         raise errors.ConnectionLostError("closed within a response")
 
-    def expect_another_answer(self) -> None:
+    def expect_another_response(self) -> None:
         """Prepares to read one more response to the request that was sent.
 
         A server may first send a stale response to an earlier request.
@@ -297,7 +299,7 @@
         self._idle_since = time.monotonic()
         return True
 
-    def kept_for(self) -> float | None:
+    def keep_alive_timeout(self) -> float | None:
         """Returns the server's keep-alive timeout in seconds, if announced."""
         return self._head.keep_alive_s if self._head is not None else None
 
@@ -320,7 +322,7 @@
             if event is not h11.NEED_DATA:
                 return event  # type: ignore[return-value]
             try:
-                data = await self._source.take()
+                data = await self._source.read()
             except OSError as error:
                 raise errors.ConnectionLostError(str(error)) from error
             try:
@@ -339,7 +341,7 @@
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        streams.tune(sock)
+        streams.set_socket_options(sock)
     except OSError as error:
         raise errors.NoSocketError(str(error)) from error
     return iostream.IOStream(sock, max_buffer_size=streams.MAX_BUFFER_BYTES)
@@ -352,12 +354,12 @@
     return isinstance(error, ConnectionRefusedError)
 
 
-def _head_of(event: h11.Response) -> messages.ResponseHead:
+def _parse_head(event: h11.Response) -> messages.ResponseHead:
     headers = [(bytes(n), bytes(v)) for n, v in event.headers.raw_items()]
     head = messages.ResponseHead(event.status_code, headers)
     connection = (head.get(b"connection") or b"").lower()
     head.closes = b"close" in connection or event.http_version == b"1.0"
-    match = _KEEP_ALIVE.search(head.get(b"keep-alive") or b"")
+    match = _KEEP_ALIVE_TIMEOUT.search(head.get(b"keep-alive") or b"")
     if match is not None:
         head.keep_alive_s = float(match.group(1))
     return head
--- a/martenjunction/http1/closings.py
+++ b/martenjunction/http1/closings.py
@@ -50,5 +50,5 @@
 OnClosed = Callable[[ClosedConnection], None]
 
 
-def ignore(closed: ClosedConnection) -> None:
+def ignore_report(closed: ClosedConnection) -> None:
     """Ignores the report."""
--- a/martenjunction/http1/connection_state.py
+++ b/martenjunction/http1/connection_state.py
@@ -33,6 +33,6 @@
 }
 
 
-def after(state: State, event: Event) -> State:
+def next_state(state: State, event: Event) -> State:
     """Returns the state after an event."""
     return _NEXT.get((state, event), state)
--- a/martenjunction/http1/server.py
+++ b/martenjunction/http1/server.py
@@ -35,7 +35,7 @@
         name: str,
         handler: Handler,
         limits: Callable[[], messages.ClientLimits] = messages.ClientLimits,
-        on_closed: closings.OnClosed = closings.ignore,
+        on_closed: closings.OnClosed = closings.ignore_report,
     ) -> None:
         """Initializes the server; `listen_on` starts it.
 
@@ -80,8 +80,8 @@
         self.stop()
         self._finishing = True
         for connection in list(self._connections):
-            connection.end_when_idle()
-        self._note_ended()
+            connection.close_when_idle()
+        self._check_ended()
 
     async def wait_ended(self) -> None:
         """Waits until no connection is open; call `finish` first."""
@@ -97,15 +97,15 @@
         self, stream: iostream.IOStream, address: tuple[str, int]
     ) -> Awaitable[None]:
         """Registers a connection and returns the task that serves it."""
-        streams.tune(stream.socket)
+        streams.set_socket_options(stream.socket)
         connection = server_connection.ServerConnection(stream, self._limits)
         # Registered before its task first runs, so that a shutdown sees it.
         self._connections.add(connection)
         if self._finishing:
-            connection.end_when_idle()
-        return self._carry(connection)
+            connection.close_when_idle()
+        return self._run_connection(connection)
 
-    async def _carry(
+    async def _run_connection(
         self, connection: server_connection.ServerConnection
     ) -> None:
         reason = closings.CloseReason.FAILED
@@ -123,9 +123,9 @@
         finally:
             connection.abort(reason)
             self._connections.discard(connection)
-            self._note_ended()
+            self._check_ended()
             closing = connection.closing(self._name)
-            if closing.reason not in _USUAL:
+            if closing.reason not in _UNREPORTED:
                 self._on_closed(closing)
 
     async def _serve(
@@ -144,7 +144,7 @@
             await self._handle(connection, request)
             if connection.unanswered:
                 return closings.CloseReason.FAILED
-            if not connection.next_request():
+            if not connection.prepare_next_request():
                 return closings.CloseReason.LAST_ANSWER
 
     async def _handle(
@@ -171,12 +171,12 @@
             logger.error("%s: the handler sent no response", self._name)
             await connection.answer(502, [], b"", close=True)
 
-    def _note_ended(self) -> None:
+    def _check_ended(self) -> None:
         if self._finishing and not self._connections:
             self._ended.set()
 
 
 # Expected reasons, which are not reported.
-_USUAL = frozenset(
+_UNREPORTED = frozenset(
     {closings.CloseReason.CLIENT, closings.CloseReason.LAST_ANSWER}
 )
--- a/martenjunction/http1/server_connection.py
+++ b/martenjunction/http1/server_connection.py
@@ -22,17 +22,17 @@
 
 # Seconds by which a timeout is extended that expires while bytes are unread:
 # enough for the reader to consume them.
-SECOND_LOOK_S = 0.1
+TIMEOUT_EXTENSION_S = 0.1
 
 # Seconds within which a partly received request must be complete once its
 # connection is shutting down: without this limit, an incomplete body delayed a
 # graceful shutdown of 4 s until its deadline.
-STOP_READ_S = 1.0
+SHUTDOWN_READ_TIMEOUT_S = 1.0
 
 _State = connection_state.State
 _Event = connection_state.Event
 
-_KNOWN = {status.value for status in http.HTTPStatus}
+_KNOWN_STATUS = {status.value for status in http.HTTPStatus}
 
 
 class ServerConnection:
@@ -61,23 +61,23 @@
         self._parser = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits().max_header_bytes
         )
-        self._answering = False
-        self._last = False
+        self._response_started = False
+        self._close_announced = False
         self._timer: asyncio.TimerHandle | None = None
-        self._limit = closings.CloseReason.IDLE
+        self._timeout_reason = closings.CloseReason.IDLE
         self._bodiless = False
         self._state = _State.RESTING
-        self._ending = False
+        self._shutting_down = False
         self._unanswered = False
-        self._answered = 0
-        self._rested_since = time.monotonic()
+        self._response_count = 0
+        self._idle_since = time.monotonic()
         self._peer = streams.peer_address(stream)
-        self._closing: closings.ClosedConnection | None = None
+        self._report: closings.ClosedConnection | None = None
 
     @property
     def answering(self) -> bool:
         """Whether a response head was sent for the current request."""
-        return self._answering
+        return self._response_started
 
     @property
     def unanswered(self) -> bool:
@@ -95,7 +95,9 @@
         Args:
             server: Name of the server that accepted it.
         """
-        closing = self._closing or self._describe(closings.CloseReason.CLIENT)
+        closing = self._report or self._build_report(
+            closings.CloseReason.CLIENT
+        )
         return dataclasses.replace(closing, server=server)
 
     async def read_request(self) -> messages.Request | None:
@@ -127,7 +129,7 @@
                 )
             )
         request.body = await self._read_body()
-        self._take(request)
+        self._accept_request(request)
         return request
 
     def watch_end(self, callback: Callable[[], None] | None) -> None:
@@ -157,7 +159,7 @@
         data = b"" if self._bodiless or not body else self._data(body)
         end = self._parser.send(h11.EndOfMessage()) or b""
         await self._flush(data + end)
-        self._note_answered()
+        self._record_response()
 
     async def begin(
         self, status: int, headers: messages.Headers, close: bool = False
@@ -184,12 +186,12 @@
             ConnectionLostError: If the client disconnected.
         """
         await self._flush(self._parser.send(h11.EndOfMessage()) or b"")
-        self._note_answered()
+        self._record_response()
 
-    def next_request(self) -> bool:
+    def prepare_next_request(self) -> bool:
         """Prepares for the next request; returns whether one may follow."""
-        self._answering = False
-        if self._last or self.closed:
+        self._response_started = False
+        if self._close_announced or self.closed:
             return False
         if (
             self._parser.our_state is not h11.DONE
@@ -197,23 +199,23 @@
         ):
             return False
         self._parser.start_next_cycle()
-        self._note(_Event.REQUEST_ENDED)
-        self._rested_since = time.monotonic()
+        self._transition(_Event.REQUEST_ENDED)
+        self._idle_since = time.monotonic()
         if self._parser.trailing_data[0]:
-            self._note(_Event.BYTES_CAME)
-        return not (self._ending and self._close_if_resting())
+            self._transition(_Event.BYTES_CAME)
+        return not (self._shutting_down and self._close_if_idle())
 
-    def end_when_idle(self) -> None:
+    def close_when_idle(self) -> None:
         """Closes the connection as soon as it is idle.
 
         A request that is partly read or has unread bytes is still served; its
         response announces the close.
         """
-        if not self._ending:
-            self._ending = True
+        if not self._shutting_down:
+            self._shutting_down = True
             if self._state is _State.READING:
-                self._set_timer(STOP_READ_S, self._limit)
-        self._close_if_resting()
+                self._set_timer(SHUTDOWN_READ_TIMEOUT_S, self._timeout_reason)
+        self._close_if_idle()
 
     def abort(self, reason: closings.CloseReason) -> None:
         """Closes the connection; data in the socket's buffer is still sent.
@@ -222,9 +224,9 @@
             reason: Reason for the report; the first call determines it.
         """
         self._set_timer(None)
-        if self._closing is None and not self._stream.closed():
-            self._closing = self._describe(reason)
-        self._note(_Event.CLOSED)
+        if self._report is None and not self._stream.closed():
+            self._report = self._build_report(reason)
+        self._transition(_Event.CLOSED)
         self._source.abort()
 
     async def _read_head(self) -> h11.Request | None:
@@ -243,11 +245,11 @@
             if event is not h11.NEED_DATA:
                 return None
             try:
-                data = await self._source.take()
+                data = await self._source.read()
             except errors.ConnectionLostError:
                 return None
             if data and self._state is _State.RESTING:
-                self._note(_Event.BYTES_CAME)
+                self._transition(_Event.BYTES_CAME)
                 self._set_timer(
                     limits.header_timeout_s, closings.CloseReason.SLOW_HEAD
                 )
@@ -278,22 +280,24 @@
                 return b"".join(parts)
             elif event is h11.NEED_DATA:
                 self._set_timer(BODY_TIMEOUT_S, closings.CloseReason.SLOW_BODY)
-                self._parser.receive_data(await self._source.take())
+                self._parser.receive_data(await self._source.read())
             else:
                 raise errors.ConnectionLostError("closed within a request body")
 
     def _send_head(
         self, status: int, headers: messages.Headers, close: bool
     ) -> None:
-        if close or self._ending:
+        if close or self._shutting_down:
             headers = [*headers, (b"Connection", b"close")]
-            self._last = True
-        reason = http.HTTPStatus(status).phrase if status in _KNOWN else ""
+            self._close_announced = True
+        reason = (
+            http.HTTPStatus(status).phrase if status in _KNOWN_STATUS else ""
+        )
         head = h11.Response(
             status_code=status, headers=headers, reason=reason.encode()
         )
         data = self._parser.send(head)
-        self._answering = True
+        self._response_started = True
         self._write(data)
 
     def _data(self, data: bytes) -> bytes:
@@ -306,7 +310,7 @@
             written = self._stream.write(data)
         except iostream.StreamClosedError as error:
             raise errors.ConnectionLostError("client disconnected") from error
-        written.add_done_callback(streams.swallow)
+        written.add_done_callback(streams.retrieve_exception)
         return written
 
     async def _flush(self, data: bytes) -> None:
@@ -327,32 +331,32 @@
             self._timer.cancel()
             self._timer = None
         if seconds is not None:
-            self._limit = reason
-            if self._ending:
-                seconds = min(seconds, STOP_READ_S)
+            self._timeout_reason = reason
+            if self._shutting_down:
+                seconds = min(seconds, SHUTDOWN_READ_TIMEOUT_S)
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(seconds, self._on_time_limit, reason)
+            self._timer = loop.call_later(seconds, self._on_timeout, reason)
 
-    def _on_time_limit(self, reason: closings.CloseReason) -> None:
+    def _on_timeout(self, reason: closings.CloseReason) -> None:
         """Closes the connection unless the awaited bytes have arrived."""
         if self._source.bytes_waiting:
             # After the event loop was blocked, the timeout expires in the same
             # iteration that reads the bytes: the request would be passed on
             # and its connection closed without a response.
-            self._set_timer(SECOND_LOOK_S, reason)
+            self._set_timer(TIMEOUT_EXTENSION_S, reason)
             return
-        left = self._idle_time_left()
+        left = self._remaining_idle_s()
         if reason is closings.CloseReason.IDLE and left > 0.0:
             self._set_timer(left, reason)
             return
         self.abort(reason)
 
-    def _idle_time_left(self) -> float:
+    def _remaining_idle_s(self) -> float:
         """Returns the remaining idle time in seconds, by current limits."""
-        rested = time.monotonic() - self._rested_since
+        rested = time.monotonic() - self._idle_since
         return self._limits().idle_timeout_s - rested
 
-    def _take(self, request: messages.Request) -> None:
+    def _accept_request(self, request: messages.Request) -> None:
         """Accepts a request if the connection is still open.
 
         Raises:
@@ -363,32 +367,32 @@
         # response could be sent.
         if self.closed:
             raise request_errors.RequestNotTakenError(request)
-        self._note(_Event.REQUEST_TAKEN)
+        self._transition(_Event.REQUEST_TAKEN)
         self._unanswered = True
 
-    def _close_if_resting(self) -> bool:
+    def _close_if_idle(self) -> bool:
         """Closes an idle connection; returns whether it is closed."""
         if self._state is _State.RESTING and not self._source.bytes_waiting:
             self.abort(closings.CloseReason.STOPPED)
         return self.closed
 
-    def _note(self, event: connection_state.Event) -> None:
-        self._state = connection_state.after(self._state, event)
+    def _transition(self, event: connection_state.Event) -> None:
+        self._state = connection_state.next_state(self._state, event)
 
-    def _note_answered(self) -> None:
-        self._answered += 1
+    def _record_response(self) -> None:
+        self._response_count += 1
         self._unanswered = False
-        self._rested_since = time.monotonic()
+        self._idle_since = time.monotonic()
 
-    def _describe(
+    def _build_report(
         self, reason: closings.CloseReason
     ) -> closings.ClosedConnection:
         return closings.ClosedConnection(
             "",
             reason,
             self._peer,
-            time.monotonic() - self._rested_since,
-            self._answered,
+            time.monotonic() - self._idle_since,
+            self._response_count,
             self._unanswered,
             self._source.bytes_waiting,
         )
--- a/martenjunction/http1/streams.py
+++ b/martenjunction/http1/streams.py
@@ -27,7 +27,7 @@
 KEEPALIVE_COUNT = 2
 
 
-def tune(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Sets socket options that detect an unreachable peer in seconds."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(
@@ -50,7 +50,7 @@
     return f"{host}:{port}"
 
 
-def swallow(future: "asyncio.Future[Any]") -> None:
+def retrieve_exception(future: "asyncio.Future[Any]") -> None:
     """Marks a future's exception as retrieved; awaiting still raises it."""
     if not future.cancelled():
         future.exception()
@@ -71,11 +71,11 @@
         """
         self._stream = stream
         self._pending: asyncio.Future[bytes] | None = None
-        self._ended: Callable[[], None] | None = None
+        self._end_callback: Callable[[], None] | None = None
         self._aborted = False
 
     @property
-    def disturbed(self) -> bool:
+    def has_pending_result(self) -> bool:
         """Whether a read finished whose result was not consumed yet."""
         return self._pending is not None and self._pending.done()
 
@@ -104,7 +104,7 @@
             pending = asyncio.get_running_loop().create_future()
             pending.set_exception(error)
         self._pending = pending
-        pending.add_done_callback(swallow)
+        pending.add_done_callback(retrieve_exception)
 
     def on_end(self, callback: Callable[[], None] | None) -> None:
         """Sets the callback for the end of the connection.
@@ -114,14 +114,14 @@
         Args:
             callback: Called without arguments; None removes the callback.
         """
-        self._ended = callback
+        self._end_callback = callback
         if callback is None:
             return
         self.prefetch()
         assert self._pending is not None
-        self._pending.add_done_callback(self._on_done)
+        self._pending.add_done_callback(self._on_read_done)
 
-    async def take(self) -> bytes:
+    async def read(self) -> bytes:
         """Waits for data.
 
         Returns:
@@ -152,7 +152,7 @@
         self._aborted = True
         self._stream.close()
 
-    def _on_done(self, future: "asyncio.Future[bytes]") -> None:
+    def _on_read_done(self, future: "asyncio.Future[bytes]") -> None:
         failed = not future.cancelled() and future.exception() is not None
-        if failed and self._ended is not None:
-            self._ended()
+        if failed and self._end_callback is not None:
+            self._end_callback()
--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -4,7 +4,7 @@
 import socket
 
 # Timeout in seconds for expected responses and closes.
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class KeptConnection:
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         self._socket = socket.socket()
         self._socket.setblocking(False)
-        self._waiting = b""
+        self._buffer = b""
 
     async def connect(self, address: str) -> None:
         host, _, port = address.partition(":")
@@ -27,18 +27,18 @@
 
     async def answer(self) -> bytes:
         """Returns the next response, or the bytes received before the close."""
-        async with asyncio.timeout(PATIENCE_S):
-            while (whole := self._whole()) is None:
+        async with asyncio.timeout(TIMEOUT_S):
+            while (whole := self._response_length()) is None:
                 data = await self._receive()
                 if not data:
-                    return self._waiting
-                self._waiting += data
-        answer, self._waiting = self._waiting[:whole], self._waiting[whole:]
+                    return self._buffer
+                self._buffer += data
+        answer, self._buffer = self._buffer[:whole], self._buffer[whole:]
         return answer
 
     async def ended(self) -> bool:
         """Waits for the close; returns whether no data came before it."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             return await self._receive() == b""
 
     def close(self) -> None:
@@ -51,8 +51,8 @@
         except ConnectionError:
             return b""
 
-    def _whole(self) -> int | None:
-        head, parted, body = self._waiting.partition(b"\r\n\r\n")
+    def _response_length(self) -> int | None:
+        head, parted, body = self._buffer.partition(b"\r\n\r\n")
         if not parted:
             return None
         length = 0
@@ -66,18 +66,18 @@
     address: str, count: int, request: bytes
 ) -> list[KeptConnection]:
     """Returns connections that have each carried one request."""
-    made = [KeptConnection() for _ in range(count)]
-    for connection in made:
+    connections = [KeptConnection() for _ in range(count)]
+    for connection in connections:
         await connection.connect(address)
         connection.send(request)
-    for connection in made:
+    for connection in connections:
         assert b" 200 " in await connection.answer()
-    return made
+    return connections
 
 
-async def served(made: list[KeptConnection]) -> int:
+async def count_ok_responses(connections: list[KeptConnection]) -> int:
     """Reads one response per connection and closes all; counts the 200s."""
-    answers = [await connection.answer() for connection in made]
-    for connection in made:
+    responses = [await connection.answer() for connection in connections]
+    for connection in connections:
         connection.close()
-    return sum(b" 200 " in answer for answer in answers)
+    return sum(b" 200 " in response for response in responses)
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -195,5 +195,5 @@
     assert await peer.request(other_side)
     other_side.send(raw_peers.answer(b"ok", f"Keep-Alive: {told}"))
     assert (await connection.read_head()).status == 200
-    assert connection.kept_for() == kept_s
+    assert connection.keep_alive_timeout() == kept_s
     connection.abort()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -24,26 +24,26 @@
     """Echoes and records the requests it receives."""
 
     def __init__(self) -> None:
-        self.got: list[messages.Request] = []
-        self.left = 0
+        self.received: list[messages.Request] = []
+        self.disconnects = 0
         self.connections: set[server_connection.ServerConnection] = set()
-        self.hold = asyncio.Event()
-        self.hold.set()
+        self.release = asyncio.Event()
+        self.release.set()
 
     async def __call__(
         self,
         connection: server_connection.ServerConnection,
         request: messages.Request,
     ) -> None:
-        self.got.append(request)
+        self.received.append(request)
         self.connections.add(connection)
         connection.watch_end(self._count)
-        await self.hold.wait()
+        await self.release.wait()
         connection.watch_end(None)
         await connection.answer(200, [], request.target + b"|" + request.body)
 
     def _count(self) -> None:
-        self.left += 1
+        self.disconnects += 1
 
 
 @pytest.fixture
@@ -56,7 +56,7 @@
     listening.close_all()
 
 
-async def raw(address: str, data: bytes) -> bytes:
+async def exchange_raw(address: str, data: bytes) -> bytes:
     """Sends bytes and returns all data until the connection is closed."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -71,15 +71,15 @@
 POST = b"POST /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n"
 
 
-async def test_chunked_body_is_read_whole(echo: tuple[Echo, str]) -> None:
+async def test_chunked_body_is_read_completely(echo: tuple[Echo, str]) -> None:
     handler, address = echo
-    answer = await raw(
+    answer = await exchange_raw(
         address,
         POST + b"Transfer-Encoding: chunked\r\n\r\n"
         b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
     )
     assert answer.endswith(b"/x|abcde")
-    assert handler.got[0].body == b"abcde"
+    assert handler.received[0].body == b"abcde"
 
 
 @pytest.mark.parametrize(
@@ -92,68 +92,68 @@
         b"Bad Name: x\r\n\r\n",
     ],
 )
-async def test_ambiguous_framing_is_refused(
+async def test_ambiguous_framing_is_rejected(
     echo: tuple[Echo, str], framing: bytes
 ) -> None:
     handler, address = echo
-    answer = await raw(address, POST + framing)
+    answer = await exchange_raw(address, POST + framing)
     assert answer.startswith((b"HTTP/1.1 400", b"HTTP/1.1 501"))
-    assert not handler.got
+    assert not handler.received
 
 
-async def test_body_beyond_the_limit_is_refused_unread(
+async def test_body_over_limit_is_rejected_unread(
     echo: tuple[Echo, str],
 ) -> None:
     handler, address = echo
-    answer = await raw(address, POST + b"Content-Length: 1001\r\n\r\n")
+    answer = await exchange_raw(address, POST + b"Content-Length: 1001\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 413")
-    assert not handler.got
+    assert not handler.received
 
 
-async def test_head_beyond_the_limit_is_refused(
+async def test_head_over_limit_is_rejected(
     echo: tuple[Echo, str],
 ) -> None:
     handler, address = echo
-    answer = await raw(address, POST + b"X: " + b"y" * 4000)
+    answer = await exchange_raw(address, POST + b"X: " + b"y" * 4000)
     assert answer.startswith(b"HTTP/1.1 431")
-    assert not handler.got
+    assert not handler.received
 
 
-async def test_head_that_never_ends_is_given_up(echo: tuple[Echo, str]) -> None:
+async def test_incomplete_head_times_out(echo: tuple[Echo, str]) -> None:
     handler, address = echo
-    assert await raw(address, POST) == b""
-    assert not handler.got
+    assert await exchange_raw(address, POST) == b""
+    assert not handler.received
 
 
-async def test_requests_sent_together_are_answered_in_order(
+async def test_pipelined_requests_are_answered_in_order(
     echo: tuple[Echo, str],
 ) -> None:
     _, address = echo
     first = b"GET /1 HTTP/1.1\r\nHost: a\r\n\r\n"
     last = b"GET /2 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-    answer = await raw(address, first + last)
+    answer = await exchange_raw(address, first + last)
     assert answer.count(b"HTTP/1.1 200") == 2
     assert answer.index(b"/1|") < answer.index(b"/2|")
 
 
-async def test_client_that_leaves_is_noticed_while_it_waits(
+async def test_disconnect_of_waiting_client_is_detected(
     echo: tuple[Echo, str],
 ) -> None:
     handler, address = echo
-    handler.hold.clear()
+    handler.release.clear()
     connection = client.ClientConnection(address)
     await connection.open(5.0)
     connection.send(b"GET", b"/x", [(b"Host", b"a")], b"")
     async with asyncio.timeout(10.0):
-        while not handler.got:
+        while not handler.received:
             await asyncio.sleep(0.01)
         connection.abort()
-        while not handler.left:
+        while not handler.disconnects:
             await asyncio.sleep(0.01)
-    handler.hold.set()
+    handler.release.set()
 
 
-async def test_kept_connection_carries_many_requests(
+async def test_connection_is_reused_for_several_requests(
     echo: tuple[Echo, str],
 ) -> None:
     handler, address = echo
@@ -166,11 +166,11 @@
         assert await connection.read_body() == target + b"|"
         assert await connection.read_body() == b""
         assert connection.finish()
-    assert (len(handler.got), len(handler.connections)) == (3, 1)
+    assert (len(handler.received), len(handler.connections)) == (3, 1)
     connection.abort()
 
 
-async def answering(data: bytes, reset: bool = False) -> asyncio.Server:
+async def serve_bytes(data: bytes, reset: bool = False) -> asyncio.Server:
     """Returns a server that sends fixed bytes and closes the connection."""
 
     async def serve(
@@ -187,7 +187,9 @@
     return await asyncio.start_server(serve, "127.0.0.1", 0)
 
 
-async def ask(listening: asyncio.Server) -> tuple[client.ClientConnection, int]:
+async def send_request(
+    listening: asyncio.Server,
+) -> tuple[client.ClientConnection, int]:
     host, port = listening.sockets[0].getsockname()
     connection = client.ClientConnection(f"{host}:{port}")
     await connection.open(5.0)
@@ -203,34 +205,36 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ],
 )
-async def test_answer_that_ends_early_is_no_answer(answer: bytes) -> None:
-    listening = await answering(answer)
-    connection, _ = await ask(listening)
+async def test_truncated_response_raises_transport_error(answer: bytes) -> None:
+    listening = await serve_bytes(answer)
+    connection, _ = await send_request(listening)
     with pytest.raises(errors.TransportError):
         while await connection.read_body():
             pass
     listening.close()
 
 
-async def test_answer_without_a_length_ends_with_its_connection() -> None:
-    listening = await answering(b"HTTP/1.1 200 OK\r\n\r\nabc")
-    connection, _ = await ask(listening)
+async def test_response_without_length_ends_at_close() -> None:
+    listening = await serve_bytes(b"HTTP/1.1 200 OK\r\n\r\nabc")
+    connection, _ = await send_request(listening)
     assert await connection.read_body() == b"abc"
     assert await connection.read_body() == b""
     assert not connection.finish()
     listening.close()
 
 
-async def test_bytes_that_are_no_answer_are_told_apart() -> None:
-    listening = await answering(b"nonsense\r\n\r\n")
+async def test_malformed_response_raises_syntax_error() -> None:
+    listening = await serve_bytes(b"nonsense\r\n\r\n")
     with pytest.raises(errors.HttpSyntaxError):
-        await ask(listening)
+        await send_request(listening)
     listening.close()
 
 
-async def test_closed_connection_takes_no_request() -> None:
-    listening = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    connection, _ = await ask(listening)
+async def test_closed_connection_rejects_request() -> None:
+    listening = await serve_bytes(
+        b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+    )
+    connection, _ = await send_request(listening)
     assert await connection.read_body() == b""
     connection.finish()
     async with asyncio.timeout(10.0):
@@ -241,14 +245,14 @@
     listening.close()
 
 
-async def test_nobody_listens() -> None:
+async def test_refused_connection_raises_error() -> None:
     connection = client.ClientConnection(bench.free_address())
     with pytest.raises(errors.ConnectError):
         await connection.open(5.0)
 
 
 @pytest.mark.parametrize("fails", [True, False])
-async def test_handler_without_an_answer_is_answered_for(fails: bool) -> None:
+async def test_handler_without_response_yields_502(fails: bool) -> None:
     async def handle(
         connection: server_connection.ServerConnection,
         request: messages.Request,
@@ -259,14 +263,14 @@
     listening = server.Server("test", handler=handle)
     address = bench.free_address()
     listening.listen_on(address)
-    answer = await raw(address, b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
+    answer = await exchange_raw(address, b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 502")
     listening.close_all()
 
 
-async def test_connection_accepted_as_a_server_finishes_is_waited_for() -> None:
+async def test_finish_waits_for_connection_just_accepted() -> None:
     handler = Echo()
-    handler.hold.clear()
+    handler.release.clear()
     listening = server.Server("test", handler)
     address = bench.free_address()
     listening.listen_on(address)
@@ -278,7 +282,7 @@
             await asyncio.sleep(0)
         listening.finish()
         assert not listening.ended
-        handler.hold.set()
+        handler.release.set()
         await connection.read_head()
         assert await connection.read_body() == b"/x|"
         await listening.wait_ended()
--- a/tests/test_kept_connection_orders.py
+++ b/tests/test_kept_connection_orders.py
@@ -25,16 +25,16 @@
 
 CLIENTS = 3
 IDLE_S = 0.12
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 
 # Iterations of the event loop after which pending callbacks have run.
-PASSES = 8
+LOOP_ITERATIONS = 8
 
-LISTEN_TRIES = 10
+MAX_LISTEN_ATTEMPTS = 10
 BIG_BYTES = 200_000
 RESET = struct.pack("ii", 1, 0)
 
-SHAPES = {
+REQUEST_SHAPES = {
     "get": b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n",
     "head": b"HEAD /%d HTTP/1.1\r\nHost: a\r\n\r\n",
     "post": b"POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nabcd",
@@ -65,16 +65,16 @@
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
         self._socket.setblocking(False)
         self.received = b""
-        self.gone = False
+        self.socket_closed = False
         self.ended = False
-        self.spoiled = False
-        self.left = False
-        self.due: list[int] = []
+        self.malformed = False
+        self.disconnected = False
+        self.expected: list[int] = []
 
     def send(self, data: bytes) -> bool:
         """Sends bytes; returns whether all were sent while it was open."""
         self.receive()
-        if self.gone or self.ended or self.spoiled:
+        if self.socket_closed or self.ended or self.malformed:
             return False
         try:
             sent = self._socket.send(data)
@@ -82,11 +82,11 @@
             self.ended = True
             return False
         if sent < len(data):
-            self.spoiled = True
-        return not self.spoiled
+            self.malformed = True
+        return not self.malformed
 
     def receive(self) -> None:
-        while not self.gone and not self.ended:
+        while not self.socket_closed and not self.ended:
             try:
                 data = self._socket.recv(65536)
             except BlockingIOError:
@@ -96,34 +96,34 @@
             self.ended = not data
             self.received += data
 
-    def leave(self, reset: bool) -> None:
-        if self.gone:
+    def disconnect(self, reset: bool) -> None:
+        if self.socket_closed:
             return
         self.receive()
         if reset:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self._socket.close()
-        self.gone = True
+        self.socket_closed = True
 
     def answered(self, number: int) -> bool:
         return b"Number: %d\r\n" % number in self.received
 
     @property
-    def told(self) -> bool:
+    def close_announced(self) -> bool:
         """Whether a response announced the close of the connection."""
         return b"onnection: close" in self.received
 
 
 @dataclasses.dataclass
-class Scene:
+class Scenario:
     """A server, its clients and the recorded requests."""
 
     address: str = ""
     clients: list[Client] = dataclasses.field(default_factory=list)
-    handed_on: list[int] = dataclasses.field(default_factory=list)
-    on_closed: list[int] = dataclasses.field(default_factory=list)
+    handled: list[int] = dataclasses.field(default_factory=list)
+    handled_after_close: list[int] = dataclasses.field(default_factory=list)
     work_s: float = 0.0
-    cut_off: bool = False
+    aborted: bool = False
     numbers: "itertools.count[int]" = dataclasses.field(
         default_factory=itertools.count
     )
@@ -138,72 +138,72 @@
         request: messages.Request,
     ) -> None:
         number = int(request.target[1:])
-        self.handed_on.append(number)
+        self.handled.append(number)
         if connection.closed:
-            self.on_closed.append(number)
+            self.handled_after_close.append(number)
         if self.work_s > 0.0:
             await asyncio.sleep(self.work_s)
         pairs = [(b"Number", b"%d" % number)]
         await connection.answer(200, pairs, b"whole")
 
 
-def _send(scene: Scene, client: Client, shape: str) -> None:
-    number = next(scene.numbers)
-    if client.send(SHAPES[shape] % number):
-        client.due.append(number)
+def _send(scenario: Scenario, client: Client, shape: str) -> None:
+    number = next(scenario.numbers)
+    if client.send(REQUEST_SHAPES[shape] % number):
+        client.expected.append(number)
 
 
-async def _send_apart(scene: Scene, client: Client, shape: str) -> None:
-    number = next(scene.numbers)
-    whole = SHAPES[shape] % number
+async def _send_split(scenario: Scenario, client: Client, shape: str) -> None:
+    number = next(scenario.numbers)
+    whole = REQUEST_SHAPES[shape] % number
     cut = len(whole) // 2
     first = client.send(whole[:cut])
     await asyncio.sleep(0.0)
     if first and client.send(whole[cut:]):
-        client.due.append(number)
-
-
-async def _act(scene: Scene, step: tuple[str, int, float]) -> None:
-    what, index, seconds = step
-    client = scene.clients[index]
-    if what in SHAPES:
-        _send(scene, client, what)
-    elif what.startswith("apart-"):
-        await _send_apart(scene, client, what.removeprefix("apart-"))
-    elif what in ("fin", "reset"):
-        client.left = True
-        client.leave(what == "reset")
-    elif what == "half":
-        client.send((SHAPES["post"] % 0)[:-2])
-        client.spoiled = True
-    elif what == "bad":
+        client.expected.append(number)
+
+
+async def _run_step(scenario: Scenario, step: tuple[str, int, float]) -> None:
+    action, index, seconds = step
+    client = scenario.clients[index]
+    if action in REQUEST_SHAPES:
+        _send(scenario, client, action)
+    elif action.startswith("apart-"):
+        await _send_split(scenario, client, action.removeprefix("apart-"))
+    elif action in ("fin", "reset"):
+        client.disconnected = True
+        client.disconnect(action == "reset")
+    elif action == "half":
+        client.send((REQUEST_SHAPES["post"] % 0)[:-2])
+        client.malformed = True
+    elif action == "bad":
         client.send(b"bad\r\n\r\n")
-        client.spoiled = True
-    elif what == "connect":
-        if not scene.finishing:
-            scene.clients.append(Client(scene.address))
-    elif what == "hold-up":
+        client.malformed = True
+    elif action == "connect":
+        if not scenario.finishing:
+            scenario.clients.append(Client(scenario.address))
+    elif action == "hold-up":
         time.sleep(seconds)
-    elif what == "pass":
+    elif action == "pass":
         await asyncio.sleep(0.0)
-    elif what == "rest":
+    elif action == "rest":
         await asyncio.sleep(seconds)
-    elif what == "work":
-        scene.work_s = seconds
-    elif what == "finish":
-        scene.server.finish()
-        scene.finishing = True
-    elif what == "close-all":
-        scene.server.close_all()
-        scene.cut_off = scene.finishing = True
+    elif action == "work":
+        scenario.work_s = seconds
+    elif action == "finish":
+        scenario.server.finish()
+        scenario.finishing = True
+    elif action == "close-all":
+        scenario.server.close_all()
+        scenario.aborted = scenario.finishing = True
 
 
-def _listen(scene: Scene) -> None:
+def _listen(scenario: Scenario) -> None:
     """Starts to listen; retries if another process takes the port."""
-    for _ in range(LISTEN_TRIES):
-        scene.address = bench.free_address()
+    for _ in range(MAX_LISTEN_ATTEMPTS):
+        scenario.address = bench.free_address()
         try:
-            scene.server.listen_on(scene.address)
+            scenario.server.listen_on(scenario.address)
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
@@ -212,28 +212,28 @@
     raise OSError("no free address")
 
 
-async def _play(steps: list[tuple[str, int, float]]) -> Scene:
-    scene = Scene()
-    _listen(scene)
-    scene.clients = [Client(scene.address) for _ in range(CLIENTS)]
-    await _passes()
+async def _run_steps(steps: list[tuple[str, int, float]]) -> Scenario:
+    scenario = Scenario()
+    _listen(scenario)
+    scenario.clients = [Client(scenario.address) for _ in range(CLIENTS)]
+    await _run_event_loop()
     for step in steps:
-        await _act(scene, step)
-    await _passes()
-    scene.server.finish()
-    async with asyncio.timeout(PATIENCE_S):
-        await scene.server.wait_ended()
-    await _passes()
-    for client in scene.clients:
+        await _run_step(scenario, step)
+    await _run_event_loop()
+    scenario.server.finish()
+    async with asyncio.timeout(TIMEOUT_S):
+        await scenario.server.wait_ended()
+    await _run_event_loop()
+    for client in scenario.clients:
         client.receive()
-        client.leave(reset=False)
+        client.disconnect(reset=False)
     assert not asyncio.all_tasks() - {asyncio.current_task()}
-    assert scene.server.connections == 0
-    return scene
+    assert scenario.server.connections == 0
+    return scenario
 
 
-async def _passes() -> None:
-    for _ in range(PASSES):
+async def _run_event_loop() -> None:
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0.0)
 
 
@@ -241,8 +241,8 @@
     strategies.tuples(
         strategies.sampled_from(
             [
-                *SHAPES,
-                *(f"apart-{shape}" for shape in SHAPES),
+                *REQUEST_SHAPES,
+                *(f"apart-{shape}" for shape in REQUEST_SHAPES),
                 *("fin", "reset", "half", "bad", "connect"),
                 *("hold-up", "hold-up", "hold-up", "pass", "pass", "rest"),
                 *("work", "finish", "close-all"),
@@ -269,15 +269,17 @@
     [("get", 0, 0.0), ("hold-up", 0, 1.1 * IDLE_S), ("finish", 0, 0.0)]
 )
 @hypothesis.example([("get", 0, 0.0), ("reset", 0, 0.0)])
-def test_no_order_loses_a_request(steps: list[tuple[str, int, float]]) -> None:
+def test_no_interleaving_loses_a_request(
+    steps: list[tuple[str, int, float]],
+) -> None:
     with mock.patch.object(server_connection, "BODY_TIMEOUT_S", 2 * IDLE_S):
-        scene = asyncio.run(_play(steps))
-    assert not scene.on_closed
-    assert len(set(scene.handed_on)) == len(scene.handed_on)
-    if scene.cut_off:
+        scenario = asyncio.run(_run_steps(steps))
+    assert not scenario.handled_after_close
+    assert len(set(scenario.handled)) == len(scenario.handled)
+    if scenario.aborted:
         return
-    for client in scene.clients:
-        if client.told or client.left:
+    for client in scenario.clients:
+        if client.close_announced or client.disconnected:
             continue
-        missed = [n for n in client.due if not client.answered(n)]
-        assert not missed, (missed, scene.handed_on, client.received[-300:])
+        missed = [n for n in client.expected if not client.answered(n)]
+        assert not missed, (missed, scenario.handled, client.received[-300:])
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -43,7 +43,7 @@
     """Responds after a short delay and records the requests."""
 
     def __init__(self) -> None:
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
         self.closed: list[closings.ClosedConnection] = []
 
     async def __call__(
@@ -51,7 +51,7 @@
         connection: server_connection.ServerConnection,
         request: messages.Request,
     ) -> None:
-        self.got.append(request.target)
+        self.received.append(request.target)
         await asyncio.sleep(0.01)
         await connection.answer(200, [], request.target)
 
@@ -68,67 +68,67 @@
     listening.close_all()
 
 
-async def test_request_that_meets_the_idle_time_is_answered(
+async def test_request_racing_with_idle_timeout_is_answered(
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    made = await kept_connections.kept(address, COUNT, GET % 0)
-    for connection in made:
+    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    for connection in connections:
         connection.send(GET % 1)
     raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.served(made) == COUNT
-    assert handler.got.count(b"/1") == COUNT
+    assert await kept_connections.count_ok_responses(connections) == COUNT
+    assert handler.received.count(b"/1") == COUNT
 
 
-async def test_head_that_meets_its_time_limit_is_answered(
+async def test_head_racing_with_its_timeout_is_answered(
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    made = await kept_connections.kept(address, COUNT, GET % 0)
-    for connection in made:
+    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    for connection in connections:
         connection.send((GET % 1)[:9])
     await asyncio.sleep(0.05)
-    for connection in made:
+    for connection in connections:
         connection.send((GET % 1)[9:])
     raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.served(made) == COUNT
+    assert await kept_connections.count_ok_responses(connections) == COUNT
 
 
-async def test_body_that_meets_its_time_limit_is_answered(
+async def test_body_racing_with_its_timeout_is_answered(
     served: tuple[Handler, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server_connection, "BODY_TIMEOUT_S", IDLE_S)
     handler, address = served
-    made = await kept_connections.kept(address, COUNT, GET % 0)
-    for connection in made:
+    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    for connection in connections:
         connection.send(POST + b"ab")
     await asyncio.sleep(0.05)
-    for connection in made:
+    for connection in connections:
         connection.send(b"cd")
     raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.served(made) == COUNT
+    assert await kept_connections.count_ok_responses(connections) == COUNT
 
 
-async def test_request_whose_client_has_gone_is_not_handed_on(
+async def test_request_of_disconnected_client_is_not_passed_on(
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    made = await kept_connections.kept(address, COUNT, GET % 0)
-    for connection in made:
+    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    for connection in connections:
         connection.send(GET % 1)
         connection.close()
     [last] = await kept_connections.kept(address, 1, GET % 2)
-    assert handler.got.count(b"/1") == 0
+    assert handler.received.count(b"/1") == 0
     last.close()
 
 
-async def test_connection_that_rests_is_closed_and_noted(
+async def test_idle_connection_is_closed_and_reported(
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
     [connection] = await kept_connections.kept(address, 1, GET % 0)
     assert await connection.ended()
-    async with asyncio.timeout(kept_connections.PATIENCE_S):
+    async with asyncio.timeout(kept_connections.TIMEOUT_S):
         while not handler.closed:
             await asyncio.sleep(0.01)
     [closed] = handler.closed
@@ -138,24 +138,22 @@
     connection.close()
 
 
-async def test_idle_time_that_was_raised_holds_for_open_connections() -> None:
+async def test_raised_idle_timeout_applies_to_open_connections() -> None:
     limits = [messages.ClientLimits(idle_timeout_s=IDLE_S)]
     handler = Handler()
     listening = server.Server("test", handler, lambda: limits[0])
     address = bench.free_address()
     listening.listen_on(address)
-    made = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await kept_connections.kept(address, COUNT, GET % 0)
     limits[0] = messages.ClientLimits(idle_timeout_s=10 * IDLE_S)
     await asyncio.sleep(1.5 * IDLE_S)
-    for connection in made:
+    for connection in connections:
         connection.send(GET % 1)
-    assert await kept_connections.served(made) == COUNT
+    assert await kept_connections.count_ok_responses(connections) == COUNT
     listening.close_all()
 
 
-async def test_begin_of_a_request_behind_another_has_the_time_of_a_head() -> (
-    None
-):
+async def test_partial_pipelined_request_has_header_timeout() -> None:
     limits = messages.ClientLimits(header_timeout_s=0.2, idle_timeout_s=60.0)
     handler = Handler()
     listening = server.Server(
@@ -168,7 +166,7 @@
     connection.send(GET % 1 + (GET % 2)[:9])
     assert b" 200 " in await connection.answer()
     assert await connection.ended()
-    async with asyncio.timeout(kept_connections.PATIENCE_S):
+    async with asyncio.timeout(kept_connections.TIMEOUT_S):
         while not handler.closed:
             await asyncio.sleep(0.01)
     [closed] = handler.closed
--- a/tests/test_kept_connections_process.py
+++ b/tests/test_kept_connections_process.py
@@ -47,15 +47,15 @@
 SETTLE_S = 0.3
 
 # Minimum and maximum seconds for which a process is paused.
-HOLDS_S = (0.02, 0.15)
+PAUSES_S = (0.02, 0.15)
 
 # Minimum and maximum seconds between two pauses.
-GAPS_S = (0.005, 0.08)
+PAUSE_INTERVALS_S = (0.005, 0.08)
 
 # Idle timeout of a box in seconds, and minimum and maximum seconds from a
 # response to the next request on a connection.
 IDLE_S = 0.3
-RESTS_S = (0.2, 0.295)
+IDLE_RANGE_S = (0.2, 0.295)
 
 # Rounds of idling and sending per box.
 ROUNDS = 12
@@ -66,9 +66,9 @@
 # Requests that their replicas never complete: one that queues, and streams
 # that stall after some events.
 QUEUED = "/unsafe/queued"
-MUTE = "/chat/mute"
-BEGUN = "/chat/begun"
-EVENTS_OF = {MUTE: 0, BEGUN: 2}
+SILENT = "/chat/mute"
+STARTED = "/chat/begun"
+EVENTS_BEFORE_STALL = {SILENT: 0, STARTED: 2}
 
 
 @pytest.fixture
@@ -83,7 +83,7 @@
     await made.stop()
 
 
-class Site:
+class Deployment:
     """Box processes and the clients of each."""
 
     def __init__(self, fleet: boxes.Boxes, folder: pathlib.Path) -> None:
@@ -116,7 +116,10 @@
         obey_close: bool = True,
     ) -> kept_clients.KeptClients:
         made = kept_clients.KeptClients(
-            box.settings.callers, seed, asks(seed, paths), obey_close
+            box.settings.callers,
+            seed,
+            make_request_source(seed, paths),
+            obey_close,
         )
         self.clients.append(made)
         return made
@@ -137,7 +140,7 @@
         }
         assert not faults, f"{found}: {await self._lines_of(faults)}"
 
-    async def _lines_of(self, ids: set[str]) -> list[dict[str, object]]:
+    async def _log_lines(self, ids: set[str]) -> list[dict[str, object]]:
         """Returns the log lines of stopped boxes about given requests."""
         logs = [await box.log() for box in self.boxes if not box.running]
         return [line for log in logs for line in log if line.get("id") in ids]
@@ -152,8 +155,8 @@
 @pytest.fixture
 async def site(
     fleet: boxes.Boxes, tmp_path: pathlib.Path
-) -> AsyncIterator[Site]:
-    made = Site(fleet, tmp_path)
+) -> AsyncIterator[Deployment]:
+    made = Deployment(fleet, tmp_path)
     yield made
     await made.stop()
 
@@ -168,7 +171,7 @@
     return made
 
 
-def asks(
+def make_request_source(
     seed: int, paths: tuple[str, ...]
 ) -> Callable[[str], kept_clients.Ask]:
     rng = random.Random(seed)
@@ -182,7 +185,7 @@
     return make
 
 
-async def send_while_held_up(
+async def send_while_paused(
     box: box_processes.Box,
     clients: kept_clients.KeptClients,
     count: int,
@@ -195,36 +198,36 @@
     await clients.receive(sent)
 
 
-async def hold_up_until_ended(box: box_processes.Box, seed: int) -> None:
+async def pause_until_ended(box: box_processes.Box, seed: int) -> None:
     rng = random.Random(seed)
     while box.running:
         with box.held_up():
-            await asyncio.sleep(rng.uniform(*HOLDS_S))
-        await asyncio.sleep(rng.uniform(*GAPS_S))
+            await asyncio.sleep(rng.uniform(*PAUSES_S))
+        await asyncio.sleep(rng.uniform(*PAUSE_INTERVALS_S))
 
 
 # Idle timeout.
 
 
-async def rest_and_send(
+async def idle_and_send(
     box: box_processes.Box, clients: kept_clients.KeptClients, seed: int
 ) -> None:
     rng = random.Random(seed)
     for _ in range(ROUNDS):
         await clients.open(12)
         await clients.warm_up()
-        await asyncio.sleep(rng.uniform(*RESTS_S))
-        await send_while_held_up(box, clients, 12, rng.uniform(*HOLDS_S))
+        await asyncio.sleep(rng.uniform(*IDLE_RANGE_S))
+        await send_while_paused(box, clients, 12, rng.uniform(*PAUSES_S))
 
 
-async def test_requests_that_meet_the_idle_time_are_answered_or_untaken(
-    site: Site,
+async def test_requests_racing_with_idle_timeout_are_answered_or_untaken(
+    site: Deployment,
 ) -> None:
     site.fleet.configure(document(idle_s=IDLE_S))
     await site.start(2)
     await asyncio.gather(
         *(
-            rest_and_send(box, site.add_clients(box, seed), seed)
+            idle_and_send(box, site.add_clients(box, seed), seed)
             for seed, box in enumerate(site.boxes)
         )
     )
@@ -253,8 +256,8 @@
         if reopen:
             await clients.open(kept)
         # Time for the box to accept them.
-        await asyncio.sleep(rng.uniform(*GAPS_S))
-        await send_while_held_up(box, clients, 8, rng.uniform(0.1, 0.2))
+        await asyncio.sleep(rng.uniform(*PAUSE_INTERVALS_S))
+        await send_while_paused(box, clients, 8, rng.uniform(0.1, 0.2))
 
 
 @pytest.mark.parametrize(
@@ -263,7 +266,7 @@
     ids=["clients-obey-close", "clients-ignore-close"],
 )
 async def test_requests_that_meet_the_end_of_a_stop_are_answered_or_untaken(
-    site: Site, obey_close: bool, kept: int, reopen: bool
+    site: Deployment, obey_close: bool, kept: int, reopen: bool
 ) -> None:
     # A client that obeys the close uses each connection once after the signal;
     # the connections were idle before it.
@@ -292,7 +295,7 @@
         await asyncio.sleep(0.01)
     box.signal(signal.SIGTERM)
     try:
-        await hold_up_until_ended(box, seed)
+        await pause_until_ended(box, seed)
     finally:
         clients.halt()
         await traffic
@@ -303,8 +306,8 @@
     [True, False],
     ids=["clients-obey-close", "clients-ignore-close"],
 )
-async def test_stop_under_steady_traffic_cuts_nothing_off(
-    site: Site, obey_close: bool
+async def test_shutdown_under_steady_traffic_drops_nothing(
+    site: Deployment, obey_close: bool
 ) -> None:
     # The box is never idle: the shutdown lasts until its deadline.
     await site.start(4, stop_s=5.0)
@@ -322,8 +325,8 @@
     assert [await box.until_ended() for box in site.boxes] == [0] * 4
 
 
-async def test_stop_before_slow_endpoints_cuts_nothing_off(
-    site: Site,
+async def test_shutdown_with_slow_endpoints_drops_nothing(
+    site: Deployment,
 ) -> None:
     # Requests used to be accepted as long as their target fitted into the time
     # left: on a busy machine, a request with a target of 0.2 s, accepted 0.25 s
@@ -344,7 +347,7 @@
 # Shutdown, reload, restart and configuration change together.
 
 
-async def change_all(site: Site, rng: random.Random) -> None:
+async def apply_all_changes(site: Deployment, rng: random.Random) -> None:
     """Stops, reloads and restarts boxes and changes the limits."""
     leaving, restarted, staying = site.boxes
     steps: list[Callable[[], None]] = [
@@ -359,7 +362,7 @@
         step()
         await asyncio.sleep(rng.uniform(0.0, 0.01))
     holds = [
-        asyncio.create_task(hold_up_until_ended(box, number))
+        asyncio.create_task(pause_until_ended(box, number))
         for number, box in enumerate(site.boxes)
     ]
     assert await restarted.until_ended() == 0
@@ -372,8 +375,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-async def test_stop_reload_change_and_restart_at_once_lose_nothing(
-    site: Site, seed: int
+async def test_concurrent_shutdown_reload_change_and_restart_lose_nothing(
+    site: Deployment, seed: int
 ) -> None:
     await site.start(3, stop_s=5.0)
     traffic = []
@@ -383,7 +386,7 @@
         traffic.append(asyncio.create_task(busy.run(8, 0.03)))
         traffic.append(asyncio.create_task(resting.run(8, IDLE_S)))
     await boxes.until(lambda: all(len(c.records) > 16 for c in site.clients))
-    await change_all(site, random.Random(seed))
+    await apply_all_changes(site, random.Random(seed))
     for made in site.clients:
         made.halt()
     await asyncio.gather(*traffic)
@@ -393,7 +396,9 @@
 # Deadline of a graceful shutdown.
 
 
-async def receive_held(site: Site, path: str) -> list[kept_clients.Record]:
+async def stop_with_stuck_requests(
+    site: Deployment, path: str
+) -> list[kept_clients.Record]:
     """Stops a box with requests that their replicas never complete.
 
     Returns:
@@ -405,10 +410,10 @@
     await clients.warm_up()
     for stand_in in site.fleet.replicas:
         stand_in.queue_s = 60.0 if path == QUEUED else 0.0
-        stand_in.silent_after = EVENTS_OF.get(path)
+        stand_in.silent_after = EVENTS_BEFORE_STALL.get(path)
     sent = clients.send(4)
     held = {f"1-{number}" for number in range(5, 9)}
-    await boxes.until(lambda: held <= arrived(site.fleet.replicas))
+    await boxes.until(lambda: held <= received_ids(site.fleet.replicas))
     box.signal(signal.SIGTERM)
     await clients.receive(sent)
     assert await box.until_ended() == 0
@@ -416,17 +421,17 @@
     return [records[its] for its in sorted(held)]
 
 
-def arrived(replicas: list[replica.Replica]) -> set[str]:
+def received_ids(replicas: list[replica.Replica]) -> set[str]:
     return {got.id for made in replicas for got in made.received}
 
 
-@pytest.mark.parametrize("path", [QUEUED, MUTE])
-async def test_request_held_at_the_limit_of_a_stop_gets_its_final_answer(
-    site: Site, path: str
+@pytest.mark.parametrize("path", [QUEUED, SILENT])
+async def test_stuck_request_gets_response_at_shutdown_deadline(
+    site: Deployment, path: str
 ) -> None:
     site.fleet.configure(document(timeout_ms=60_000))
     await site.start(1, stop_s=2.0)
-    records = await receive_held(site, path)
+    records = await stop_with_stuck_requests(site, path)
     fates = [(record.fate, record.status) for record in records]
     # 503 would state that it was not executed, which the box cannot know.
     wanted = {
@@ -436,11 +441,11 @@
     assert set(fates) <= wanted, fates
 
 
-async def test_stream_held_at_the_limit_of_a_stop_is_broken_off_visibly(
-    site: Site,
+async def test_stuck_stream_is_visibly_truncated_at_shutdown_deadline(
+    site: Deployment,
 ) -> None:
     site.fleet.configure(document(timeout_ms=60_000))
     await site.start(1, stop_s=2.0)
-    records = await receive_held(site, BEGUN)
+    records = await stop_with_stuck_requests(site, STARTED)
     fates = [(record.fate, record.status) for record in records]
     assert fates == [(kept_clients.Fate.BROKEN, 200)] * 4
