--- a/martenjunction/endpoints/__init__.py
+++ b/martenjunction/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that is said to endpoints."""
+"""Clients, connection pool and protocols for endpoints."""
--- a/martenjunction/endpoints/attempt.py
+++ b/martenjunction/endpoints/attempt.py
@@ -1,4 +1,4 @@
-"""One request at one endpoint, over one connection."""
+"""A single attempt to send a request to an endpoint."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -9,43 +9,44 @@
 from martenjunction.http1 import messages
 from martenjunction.platform import headers
 
-# Answers to other requests that are read past on one connection.
+# Maximum number of response heads read per attempt, including stale
+# responses to other requests.
 MAX_FOREIGN_ANSWERS = 2
 
-# Largest answer that is held as a whole, in bytes.
+# Maximum size of a response that is buffered completely, in bytes.
 MAX_WHOLE_BYTES = 8 * 1024 * 1024
 
 
 class Attempt:
-    """What one endpoint makes of a request.
+    """An attempt to send a request over one connection.
 
-    Errors of the connection become those of endpoints: until an answer is
-    whole, the request may have run.
+    Connection errors are raised as endpoint errors. Until the response is
+    complete, the request may or may not have been executed.
     """
 
     def __init__(
         self, connection: client.ClientConnection, request_id: str
     ) -> None:
-        """Makes an attempt; `send` begins.
+        """Initializes the attempt; `send` starts it.
 
         Args:
-            connection: A connection that nobody else uses.
-            request_id: The id that the answer must carry.
+            connection: A connection reserved for this attempt.
+            request_id: Request id that the response must carry.
         """
         self._connection = connection
         self._request_id = request_id
 
     @property
     def connection(self) -> client.ClientConnection:
-        """The connection that it runs on."""
+        """Connection of the attempt."""
         return self._connection
 
     def send(self, request: messages.Request, pairs: messages.Headers) -> None:
-        """Hands the request to the socket.
+        """Writes the request to the socket.
 
         Args:
             request: The request.
-            pairs: The headers that the endpoint gets.
+            pairs: Headers to send to the endpoint.
 
         Raises:
             EndpointNotReachedError: If nothing was sent.
@@ -58,12 +59,13 @@
             raise errors.EndpointNotReachedError(str(error)) from error
 
     async def head(self) -> messages.ResponseHead:
-        """Waits for the head of this request's answer.
+        """Waits for the response head.
 
-        An answer that belongs to another request is read past.
+        Skips stale responses to other requests.
 
         Raises:
-            EndpointBrokenError: If no answer comes.
+            EndpointBrokenError: If no response arrives.
+            EndpointMismatchError: If only stale responses arrive.
         """
         try:
             for _ in range(MAX_FOREIGN_ANSWERS):
@@ -77,13 +79,13 @@
             self.abort()
             raise errors.EndpointBrokenError(str(error)) from error
         self.abort()
-        raise errors.EndpointMismatchError("only answers to other requests")
+        raise errors.EndpointMismatchError("only responses to other requests")
 
     async def body(self) -> bytes:
-        """Waits for the whole body.
+        """Reads the complete body.
 
         Raises:
-            EndpointBrokenError: If it breaks off.
+            EndpointBrokenError: If it is truncated or too large.
         """
         parts = []
         size = 0
@@ -92,15 +94,15 @@
             size += len(part)
             if size > MAX_WHOLE_BYTES:
                 self.abort()
-                raise errors.EndpointBrokenError("the answer is too large")
+                raise errors.EndpointBrokenError("response body too large")
         return b"".join(parts)
 
     async def events(self) -> AsyncIterator[list[event_stream.StreamEvent]]:
-        """Yields whole events as they arrive.
+        """Yields complete events as they arrive.
 
         Raises:
-            EndpointBrokenError: If the stream breaks off, also within an
-                event.
+            EndpointBrokenError: If the stream is truncated, also if it ends
+                within an event.
         """
         splitter = event_stream.EventSplitter()
         async for part in self._pieces():
@@ -109,14 +111,14 @@
                 yield events
         if splitter.partial:
             self.abort()
-            raise errors.EndpointBrokenError("the stream ends within an event")
+            raise errors.EndpointBrokenError("stream ended within an event")
 
     def finish(self) -> None:
-        """Makes the connection ready for another request, or closes it."""
+        """Prepares the connection for another request, or closes it."""
         self._connection.finish()
 
     def abort(self) -> None:
-        """Closes the connection at once: the endpoint drops the request."""
+        """Closes the connection, so that the endpoint cancels the request."""
         self._connection.abort()
 
     async def _pieces(self) -> AsyncIterator[bytes]:
--- a/martenjunction/endpoints/client.py
+++ b/martenjunction/endpoints/client.py
@@ -1,4 +1,4 @@
-"""The HTTP client for endpoints, on tornado's `curl` client."""
+"""HTTP client for endpoints, based on tornado's `curl` client."""
 
 import asyncio
 import dataclasses
@@ -16,11 +16,12 @@
 
 CONNECT_TIMEOUT = 1.0
 
-# The relay keeps its own time; this only ends what it forgot.
+# The relay enforces its own timeouts; this is a safety net for leaked
+# transfers.
 TRANSFER_TIMEOUT = 24 * 3600.0
 
-# Errors that curl reports where no connection came about, provided that no
-# byte of the request had left on an earlier one.
+# Errors that curl reports if no connection was established, provided that no
+# byte of the request was sent over an earlier connection.
 _BEFORE_SENDING = frozenset(
     {
         pycurl.E_COULDNT_CONNECT,
@@ -32,16 +33,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointRequest:
-    """A request as an endpoint gets it.
+    """A request to an endpoint.
 
     Attributes:
-        method: The HTTP method.
-        url: The whole URL, with an IP number.
+        method: HTTP method.
+        url: Complete URL, with an IP address.
         headers: Header names and values.
         body: The body, or None.
-        once: Whether the request must not be sent twice by the client
-            itself, which it otherwise does on a kept connection that turns
-            out to be dead.
+        once: Whether to forbid the retry that libcurl performs by itself if a
+            reused connection turns out to be closed.
     """
 
     method: str
@@ -52,16 +52,17 @@
 
 
 class EndpointClient(curl_httpclient.CurlAsyncHTTPClient):
-    """Sends requests and hands out their answers as bounded streams."""
+    """Sends requests and returns their responses as bounded streams."""
 
     _closing = False
 
     def __new__(cls, max_clients: int) -> "EndpointClient":
-        """Makes a client of its own.
+        """Creates a separate client instance.
 
         Args:
-            max_clients: Transfers at once. A transfer beyond it would wait
-                unseen inside the client, so callers must bound themselves.
+            max_clients: Maximum number of concurrent transfers. Further
+                transfers would queue invisibly inside the client, so callers
+                must limit themselves.
         """
         instance = super().__new__(
             cls, force_instance=True, max_clients=max_clients
@@ -69,10 +70,10 @@
         return cast(EndpointClient, instance)
 
     def __init__(self, max_clients: int) -> None:
-        """Does nothing: the library initializes from `__new__`."""
+        """Does nothing: the library initializes in `__new__`."""
 
     def open(self, request: EndpointRequest) -> streams.EndpointStream:
-        """Starts a request; the stream tells how it goes."""
+        """Starts a request; the stream provides the response or an error."""
         stream = streams.EndpointStream()
 
         def prepare(curl: Any) -> None:
@@ -93,24 +94,25 @@
             allow_nonstandard_methods=True,
             prepare_curl_callback=prepare,
         )
-        # Whether it fails or not, `_finish` has told the stream by then.
+        # On success and on failure, `_finish` has set `request_bytes` of the
+        # stream by then.
         future = self.fetch(http_request, raise_error=False)
         future.add_done_callback(lambda done: _end(stream, done))
         return stream
 
     def cancel(self, stream: streams.EndpointStream) -> None:
-        """Ends a transfer now and closes its connection."""
+        """Cancels a transfer immediately and closes its connection."""
         stream.aborted = True
         curl = stream.transfer
-        # A handle is used again at once when its transfer ends, which is
-        # before the stream hears of it.
+        # The library reuses a handle as soon as its transfer ends, before the
+        # stream is notified.
         if curl is None or curl.info is None or curl.stream is not stream:
             return
-        # The library has no public call for this.
+        # The library has no public method for this.
         self._finish(curl, pycurl.E_ABORTED_BY_CALLBACK, "cancelled")
 
     def close(self) -> None:
-        """Cuts every transfer off and frees the client."""
+        """Cancels all transfers and closes the client."""
         for curl in self._curls:
             if getattr(curl, "info", None) is not None:
                 self.cancel(curl.stream)
@@ -118,7 +120,7 @@
         super().close()
 
     def _set_timeout(self, msecs: int) -> None:
-        # Closing a transfer makes the library ask for one more call.
+        # Closing a transfer makes libcurl set one more timeout.
         if not self._closing:
             super()._set_timeout(msecs)
 
@@ -128,7 +130,7 @@
         curl_error: int | None = None,
         curl_message: str | None = None,
     ) -> None:
-        """Notes what was sent, before the library lets the handle go."""
+        """Records the bytes sent before the library releases the handle."""
         curl.stream.request_bytes = curl.getinfo(pycurl.REQUEST_SIZE)
         super()._finish(curl, curl_error, curl_message)
 
@@ -142,8 +144,8 @@
     curl.setopt(pycurl.WRITEFUNCTION, stream.on_body)
     curl.setopt(pycurl.NOPROXY, "*")
     curl.setopt(pycurl.TCP_NODELAY, 1)
-    # On a kept connection that turns out to be dead, libcurl sends a request
-    # a second time by itself.
+    # If a reused connection turns out to be closed, libcurl retries the request
+    # by itself.
     curl.setopt(pycurl.FRESH_CONNECT, 1 if once else 0)
 
 
@@ -161,11 +163,11 @@
 def _to_endpoint_error(
     failure: BaseException | None, request_bytes: int
 ) -> errors.EndpointError | None:
-    """Turns an error of the client into one of ours.
+    """Converts an error of the client library to an endpoint error.
 
     Args:
-        failure: The client's error, or None.
-        request_bytes: Bytes of the request that left, over all connections.
+        failure: Error of the library, or None.
+        request_bytes: Bytes of the request sent, over all connections.
     """
     if failure is None or isinstance(failure, errors.EndpointError):
         return failure
@@ -175,5 +177,5 @@
     return errors.EndpointBrokenError(str(failure))
 
 
-# The status by which tornado marks a transfer that failed.
+# Status with which tornado marks a failed transfer.
 FAILED_TRANSFER = 599
--- a/martenjunction/endpoints/engine_protocol.py
+++ b/martenjunction/endpoints/engine_protocol.py
@@ -1,8 +1,8 @@
-"""How model engines are spoken to: chat completions over server-sent events.
+"""Protocol of model engines: chat completions over server-sent events.
 
-The form of requests, chunks and `[DONE]` is the published one of the
-chat/completions API; ids and resuming follow the server-sent events standard.
-Whatever is particular to one engine stays in this module.
+Requests, chunks and `[DONE]` follow the published chat/completions API; event
+ids and resuming follow the server-sent events standard. Everything specific to
+an engine is confined to this module.
 """
 
 import dataclasses
@@ -21,18 +21,18 @@
 EVENT_END = b"\n\n"
 ID_FIELD = b"id: "
 
-# Answers by which an engine says that it did not start the request.
+# Statuses with which an engine reports that it did not start the request.
 REFUSED_STATUS = frozenset({429, 503})
 
 
 @dataclasses.dataclass(slots=True)
 class ChatRequest:
-    """A chat request on its way to an engine.
+    """A chat request to an engine.
 
     Attributes:
-        request_id: Its id; the engine repeats it.
-        tier: 1 is the highest; engines honour it.
-        body: The caller's body as parsed JSON.
+        request_id: Request id, which the engine echoes.
+        tier: Priority, honoured by engines; 1 is the highest.
+        body: Parsed JSON body of the caller.
     """
 
     request_id: str
@@ -43,13 +43,13 @@
 def start(
     address: str, request: ChatRequest, delivered: "Delivered", once: bool
 ) -> client.EndpointRequest:
-    """Returns the request that starts a run, or goes on with a broken one.
+    """Returns the request that starts a run or continues a broken one.
 
     Args:
-        address: IP number and port of the engine.
+        address: IP address and port of the engine.
         request: The request.
-        delivered: What the caller already has.
-        once: Whether it must never be sent twice.
+        delivered: Events already delivered to the caller.
+        once: Whether the client must not retry the request.
     """
     body = dict(request.body, stream=True)
     if delivered.tokens:
@@ -75,7 +75,7 @@
 def resume(
     address: str, request: ChatRequest, delivered: "Delivered"
 ) -> client.EndpointRequest:
-    """Returns the request that goes on with a run the engine still has."""
+    """Returns the request that resumes a run retained by the engine."""
     headers = [
         ("Accept", "text/event-stream"),
         (http_headers.REQUEST_ID, request.request_id),
@@ -94,32 +94,32 @@
 
 
 def check_head(head: streams.ResponseHead, request_id: str) -> None:
-    """Accepts the head of an answer that belongs to a request.
+    """Checks a response head.
 
     Raises:
-        EndpointRefusedError: If the engine says that it did not start it.
-        EndpointMismatchError: If the answer is to another request.
+        EndpointRefusedError: If the engine did not start the request.
+        EndpointMismatchError: If the response is to another request.
         EndpointBrokenError: If the engine failed.
     """
     if head.status in REFUSED_STATUS:
         raise errors.EndpointRefusedError(f"status {head.status}", head.rest_s)
     if head.status == 404:
-        raise errors.EndpointBrokenError("the engine does not have the run")
+        raise errors.EndpointBrokenError("the engine does not know the run")
     if head.status >= 500:
         raise errors.EndpointBrokenError(f"status {head.status}")
     if head.status >= 400:
         return
     answered = head.get(http_headers.REQUEST_ID)
     if answered != request_id:
-        raise errors.EndpointMismatchError(f"the answer is to {answered!r}")
+        raise errors.EndpointMismatchError(f"response is to {answered!r}")
 
 
 class Delivered:
-    """What a caller has of a streamed answer, in whole events.
+    """Events of a streamed response that were delivered to the caller.
 
-    Bytes go in as they come; whole events come out, each exactly once. Half
-    an event is kept until its rest arrives, and is thrown away when the run
-    is continued.
+    Takes bytes as they arrive and returns complete events, each exactly once.
+    An incomplete event is buffered until the rest arrives, and is discarded
+    when the run is continued.
     """
 
     def __init__(self) -> None:
@@ -130,19 +130,19 @@
 
     @property
     def tokens(self) -> int:
-        """The id of the last whole event: tokens that the caller has."""
+        """Id of the last complete event: number of tokens delivered."""
         return self._tokens
 
     @property
     def done(self) -> bool:
-        """Whether the end of the answer was seen."""
+        """Whether the response is complete."""
         return self._done
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes in; returns the whole events that they complete.
+        """Adds received bytes; returns the events that are now complete.
 
         Raises:
-            EndpointMismatchError: If an event's number does not follow.
+            EndpointMismatchError: If an event id is out of sequence.
         """
         data = self._tail + data
         end = data.rfind(EVENT_END)
@@ -157,18 +157,18 @@
         return whole
 
     def drop_tail(self) -> None:
-        """Forgets half an event, before the run is continued."""
+        """Discards an incomplete event before a run continues."""
         self._tail = b""
 
     def text(self) -> str:
-        """Returns the text of all whole events."""
+        """Returns the text of all complete events."""
         return "".join(_content(chunk) for chunk in self.chunks())
 
     def chunks(self) -> list[dict[str, Any]]:
-        """Returns the parsed chunks of all whole events.
+        """Returns the parsed chunks of all complete events.
 
         Raises:
-            EndpointBrokenError: If one of them is not JSON.
+            EndpointBrokenError: If an event is not JSON.
         """
         parsed = []
         for event in b"".join(self._events).split(EVENT_END):
@@ -179,7 +179,7 @@
                 parsed.append(json.loads(data))
             except ValueError as error:
                 raise errors.EndpointBrokenError(
-                    "an event is not JSON"
+                    "event is not valid JSON"
                 ) from error
         return parsed
 
@@ -204,7 +204,7 @@
         return int(line)
     except ValueError as error:
         raise errors.EndpointMismatchError(
-            "an event id is no number"
+            "event id is not a number"
         ) from error
 
 
@@ -222,14 +222,14 @@
 
 
 def assemble(delivered: Delivered) -> dict[str, Any]:
-    """Makes one whole answer of a finished stream.
+    """Assembles a complete response from a finished stream.
 
     Raises:
-        EndpointBrokenError: If the stream holds no chunk.
+        EndpointBrokenError: If the stream contains no chunk.
     """
     chunks = delivered.chunks()
     if not chunks:
-        raise errors.EndpointBrokenError("an answer without a chunk")
+        raise errors.EndpointBrokenError("response without a chunk")
     last = chunks[-1]
     reason = (last.get("choices") or [{}])[0].get("finish_reason")
     return {
--- a/martenjunction/endpoints/event_stream.py
+++ b/martenjunction/endpoints/event_stream.py
@@ -1,11 +1,11 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Splits a byte stream into server-sent events."""
 
 import dataclasses
 import re
 
 from martenjunction import errors
 
-# Largest event, in bytes.
+# Maximum size of an event, in bytes.
 MAX_EVENT_BYTES = 1024 * 1024
 
 _BLANK_LINE = re.compile(rb"\r?\n\r?\n")
@@ -14,11 +14,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event.
+    """A complete event.
 
     Attributes:
-        data: Its bytes, the blank line at its end included.
-        id: Its id, or None.
+        data: Bytes of the event, including the blank line at its end.
+        id: Event id, or None.
     """
 
     data: bytes
@@ -26,21 +26,21 @@
 
 
 class EventSplitter:
-    """Gathers bytes until an event is whole."""
+    """Buffers bytes until an event is complete."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def partial(self) -> bool:
-        """Whether bytes of an event came that is not whole."""
+        """Whether bytes of an incomplete event are buffered."""
         return bool(self._rest.strip(b"\r\n"))
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Takes bytes in; returns the events that are whole now.
+        """Adds received bytes; returns the events that are now complete.
 
         Raises:
-            EndpointBrokenError: If an event has no end.
+            EndpointBrokenError: If an event exceeds the maximum size.
         """
         rest = self._rest + data
         events = []
@@ -53,5 +53,5 @@
             events.append(StreamEvent(piece, name))
         self._rest = rest[start:]
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise errors.EndpointBrokenError("an event without an end")
+            raise errors.EndpointBrokenError("event too large")
         return events
--- a/martenjunction/endpoints/loads.py
+++ b/martenjunction/endpoints/loads.py
@@ -1,4 +1,4 @@
-"""Asks endpoints for their load, which they report with a lag."""
+"""Polls endpoints for their load, which they report with a delay."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,8 +15,9 @@
 
 logger = logging.getLogger(__name__)
 
-# Seconds between two polls of an endpoint, and polls a second of all of them:
-# with many endpoints each is asked less often, so that control stays small.
+# Minimum seconds between two polls of an endpoint, and maximum polls per second
+# of all endpoints together: with many endpoints each is polled less often, to
+# limit control traffic.
 POLL_INTERVAL = 2.0
 MAX_POLLS = 5.0
 MAX_REPORT = 4096
@@ -24,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """An endpoint's own report.
+    """Load report of an endpoint.
 
     Attributes:
-        running: Requests that run.
-        waiting: Requests in its own queue.
-        age_ms: Milliseconds since the report was true.
+        running: Number of running requests.
+        waiting: Number of requests in the endpoint's queue.
+        age_ms: Age of the report in milliseconds.
     """
 
     running: int
@@ -44,7 +45,7 @@
 
 
 class LoadPoller:
-    """Polls the endpoints of the cells that run on this box."""
+    """Polls the load of the endpoints of the cells on this box."""
 
     def __init__(
         self,
@@ -54,14 +55,14 @@
         on_load: OnLoad,
         on_silent: OnSilent,
     ) -> None:
-        """Makes a poller; `start` begins.
+        """Initializes the poller; `start` starts it.
 
         Args:
-            http: The client to ask with.
-            clock: Wakes the poller.
-            endpoints: Returns whom to ask.
-            on_load: Called with each report.
-            on_silent: Called with each endpoint that cannot be reached.
+            http: HTTP client for the polls.
+            clock: Timers that trigger the polls.
+            endpoints: Returns the endpoints to poll.
+            on_load: Called with each load report.
+            on_silent: Called with the name of each unreachable endpoint.
         """
         self._http = http
         self._timers = clock
@@ -72,11 +73,11 @@
         self._due: dict[str, float] = {}
 
     def start(self) -> None:
-        """Begins to poll."""
+        """Starts to poll."""
         self._timers.subscribe("loads", POLL_INTERVAL / 20, self._tick)
 
     def _tick(self) -> None:
-        """Asks those who are due, so that polls are spread over time."""
+        """Polls the endpoints that are due, so that polls are spread out."""
         now = self._timers.now()
         endpoints = self._endpoints()
         interval = max(POLL_INTERVAL, len(endpoints) / MAX_POLLS)
@@ -103,6 +104,6 @@
         except errors.EndpointNotReachedError:
             self._on_silent(endpoint.name)
         except (errors.EndpointError, pydantic.ValidationError) as error:
-            logger.info("no load report of %s: %s", endpoint.name, error)
+            logger.info("no load report from %s: %s", endpoint.name, error)
         finally:
             self._asking.discard(endpoint.name)
--- a/martenjunction/endpoints/plain_protocol.py
+++ b/martenjunction/endpoints/plain_protocol.py
@@ -1,12 +1,12 @@
-"""How plain services are spoken to: HTTP as the caller sent it."""
+"""Protocol of plain services: HTTP passed on as the caller sent it."""
 
 from martenjunction import errors
 from martenjunction import http_headers
 from martenjunction.endpoints import client
 from martenjunction.endpoints import streams
 
-# By this header a plain service says that it did not run a request that it
-# answers with an error.
+# Header with which a plain service reports that it did not execute a request
+# that it answers with an error.
 RAN_HEADER = "X-Request-Ran"
 
 
@@ -19,16 +19,16 @@
     request_id: str,
     once: bool,
 ) -> client.EndpointRequest:
-    """Returns the request that a plain service gets.
+    """Returns the request to a plain service.
 
     Args:
-        address: IP number and port of the server.
-        method: The caller's method.
+        address: IP address and port of the server.
+        method: The caller's HTTP method.
         path: Path and query, from the first slash.
         headers: The caller's headers.
         body: The caller's body, or None.
-        request_id: The request's id.
-        once: Whether it must never be sent twice.
+        request_id: Request id.
+        once: Whether the client must not retry the request.
     """
     passed = http_headers.to_endpoint(headers)
     passed.append((http_headers.REQUEST_ID, request_id))
@@ -38,14 +38,16 @@
 
 
 def check_head(head: streams.ResponseHead, request_id: str) -> None:
-    """Accepts any answer that is not known to belong to another request.
+    """Checks a response head; a missing request id is accepted.
 
     Raises:
-        EndpointRefusedError: If the service says that it did not run it.
-        EndpointMismatchError: If the answer is to another request.
+        EndpointRefusedError: If the service did not execute the request.
+        EndpointMismatchError: If the response is to another request.
     """
     answered = head.get(http_headers.REQUEST_ID)
     if answered is not None and answered != request_id:
-        raise errors.EndpointMismatchError(f"the answer is to {answered!r}")
+        raise errors.EndpointMismatchError(f"response is to {answered!r}")
     if head.status == 503 and head.get(RAN_HEADER) == "no":
-        raise errors.EndpointRefusedError("status 503, not run", head.rest_s)
+        raise errors.EndpointRefusedError(
+            "status 503, not executed", head.rest_s
+        )
--- a/martenjunction/endpoints/pool.py
+++ b/martenjunction/endpoints/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to endpoints, below each endpoint's limit."""
+"""Pool of keep-alive connections, limited per endpoint."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,22 +9,22 @@
 from martenjunction.http1 import client
 from martenjunction.http1 import messages
 
-# Seconds for a new connection. Endpoints answer within milliseconds; one that
-# does not is taken as unreachable and the request goes elsewhere.
+# Connect timeout in seconds. Endpoints accept within milliseconds; one that
+# does not is considered unreachable, and the request goes to another endpoint.
 CONNECT_TIMEOUT_S = 0.4
 
-# Part of an endpoint's connection limit that all boxes together use.
+# Fraction of an endpoint's connection limit that all boxes together use.
 LIMIT_PART = 0.85
 
-# Seconds by which an idle connection is given up before the endpoint does.
+# Seconds by which an idle connection is closed before the endpoint's idle
+# timeout.
 IDLE_MARGIN_S = 1.0
 
-# Longest idle time in seconds of a connection for a request that may not be
-# repeated: its loss would have to be told as an unknown outcome.
+# Maximum idle time in seconds of a connection for a request that may not be
+# repeated: if it were lost, its outcome would have to be reported as unknown.
 UNREPEATABLE_IDLE_S = 2.0
 
-# Idle time in seconds after which a connection is closed where the endpoint
-# does not say for how long it keeps one.
+# Keep-alive timeout in seconds that is assumed if the endpoint announces none.
 DEFAULT_KEEP_S = 4.0
 
 
@@ -40,13 +40,13 @@
 
 
 class EndpointPool:
-    """The connections of one box to all endpoints."""
+    """Connections of this box to all endpoints."""
 
     def __init__(self, share: Callable[[str], int]) -> None:
-        """Makes an empty pool.
+        """Initializes an empty pool.
 
         Args:
-            share: Returns how many connections this box may have to an
+            share: Returns the maximum number of connections of this box to an
                 endpoint of a service.
         """
         self._share = share
@@ -56,31 +56,31 @@
 
     @property
     def opened(self) -> int:
-        """Connections that were ever opened."""
+        """Number of connections opened since the start."""
         return self._opened
 
     def open_connections(self, endpoint_id: str) -> int:
-        """Returns the connections to an endpoint."""
+        """Returns the number of open connections to an endpoint."""
         entry = self._endpoints.get(endpoint_id)
         return entry.open if entry is not None else 0
 
     def on_head(self, callback: OnHead) -> None:
-        """Has a callback told of the head of each answer of an endpoint."""
+        """Sets the callback for the head of each response."""
         self._on_head = callback
 
     async def acquire(
         self, endpoint: model.Endpoint, repeatable: bool
     ) -> client.ClientConnection:
-        """Returns a connection that nobody else uses.
+        """Returns an idle or new connection for exclusive use.
 
         Args:
             endpoint: The endpoint.
-            repeatable: Whether the request may run more than once.
+            repeatable: Whether the request may be executed more than once.
 
         Raises:
-            EndpointBusyError: If this box has as many as it may, or the
-                endpoint ended a new one at once.
-            EndpointNotReachedError: If there is no connection.
+            EndpointBusyError: If this box has reached its limit or has no
+                socket, or the endpoint closed a new connection immediately.
+            EndpointNotReachedError: If the connection cannot be opened.
         """
         entry = self._endpoints.setdefault(endpoint.id, _Endpoint())
         connection = self._take_idle(entry, repeatable)
@@ -89,15 +89,15 @@
     async def connect(
         self, endpoint: model.Endpoint
     ) -> client.ClientConnection:
-        """Returns a new connection, also where others are idle.
+        """Returns a new connection even if others are idle.
 
         Raises:
-            EndpointBusyError: As `acquire` does.
-            EndpointNotReachedError: If there is no connection.
+            EndpointBusyError: As for `acquire`.
+            EndpointNotReachedError: If the connection cannot be opened.
         """
         entry = self._endpoints.setdefault(endpoint.id, _Endpoint())
         if entry.open >= self._share(endpoint.service):
-            raise errors.EndpointBusyError("no connection left")
+            raise errors.EndpointBusyError("connection limit reached")
         connection = client.ClientConnection(
             endpoint.address, lambda head: self._on_head(endpoint, head)
         )
@@ -114,7 +114,7 @@
     def release(
         self, endpoint_id: str, connection: client.ClientConnection
     ) -> None:
-        """Takes a connection back after an exchange, however it ended."""
+        """Returns a connection to the pool, or removes it if unusable."""
         entry = self._endpoints.setdefault(endpoint_id, _Endpoint())
         if not connection.closed and connection.is_reusable():
             entry.idle.append(connection)
@@ -123,7 +123,7 @@
         entry.open -= 1
 
     def keep_only(self, endpoint_ids: set[str]) -> None:
-        """Closes idle connections to endpoints that are gone."""
+        """Closes idle connections to all other endpoints."""
         for endpoint_id in list(self._endpoints):
             if endpoint_id in endpoint_ids:
                 continue
@@ -133,7 +133,7 @@
                 del self._endpoints[endpoint_id]
 
     def expire(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections whose idle time has expired."""
         now = time.monotonic()
         for entry in self._endpoints.values():
             self._close_idle(
@@ -159,7 +159,7 @@
         except errors.ConnectError as error:
             raise errors.EndpointNotReachedError(str(error)) from error
         if not connection.is_quiet():
-            raise errors.EndpointBusyError("a new connection ended at once")
+            raise errors.EndpointBusyError("new connection closed immediately")
 
     def _take_idle(
         self, entry: _Endpoint, repeatable: bool
@@ -171,8 +171,8 @@
             if not repeatable:
                 limit = min(limit, UNREPEATABLE_IDLE_S)
             fresh = now - connection.idle_since < limit
-            # The socket is asked: a request that may not be repeated, sent
-            # on a connection that had ended, would get an unknown outcome.
+            # The socket itself is checked: a request that may not be repeated
+            # would have an unknown outcome if sent on a closed connection.
             if fresh and connection.is_quiet():
                 return connection
             connection.abort()
--- a/martenjunction/endpoints/streams.py
+++ b/martenjunction/endpoints/streams.py
@@ -1,4 +1,4 @@
-"""An answer on its way in: bounded, cancellable, and told apart from others."""
+"""A streamed response with a bounded buffer."""
 
 import asyncio
 import dataclasses
@@ -9,16 +9,16 @@
 from martenjunction import errors
 from martenjunction import http_headers
 
-# Bytes that may wait for a slow caller before the endpoint is held back.
+# Bytes that are buffered for a slow caller before the transfer is paused.
 MAX_BUFFERED = 64 * 1024
 
-# Bytes of response header that we take in.
+# Maximum size of the response headers, in bytes.
 MAX_HEADER = 64 * 1024
 
 
 @dataclasses.dataclass(slots=True)
 class ResponseHead:
-    """The status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: http_headers.Pairs
@@ -33,22 +33,21 @@
 
     @property
     def rest_s(self) -> float:
-        """Seconds for which its endpoint wants nothing; 0 for none."""
+        """Back-off in seconds that the endpoint requests, or 0."""
         told = self.get(http_headers.RETRY_AFTER)
         return 0.0 if told is None else http_headers.decimal_of(told) or 0.0
 
     @property
     def limit_per_s(self) -> float | None:
-        """Requests a second that its endpoint takes; None if it names none."""
+        """Rate limit of the endpoint in requests per second, or None."""
         named = self.get(http_headers.LIMIT)
         return None if named is None else http_headers.decimal_of(named)
 
 
 class EndpointStream:
-    """The answer to one request, as its entry daemon reads it.
+    """Response to a request, as read by the entry daemon.
 
-    The HTTP client's thread of control calls the `on_` methods; the relay
-    awaits `head` and `read`.
+    The HTTP client calls the `on_` methods; the relay awaits `head` and `read`.
     """
 
     def __init__(self) -> None:
@@ -68,11 +67,11 @@
     # Called by the HTTP client.
 
     def on_start(self, curl: Any) -> None:
-        """Keeps the transfer, so that it can be paused."""
+        """Stores the transfer handle, which is needed for flow control."""
         self._curl = curl
 
     def on_header(self, line: bytes) -> int | None:
-        """Takes in one header line."""
+        """Handles a header line."""
         self._head_size += len(line)
         if self._head_size > MAX_HEADER:
             return 0
@@ -85,7 +84,7 @@
         return None
 
     def on_body(self, chunk: bytes) -> int:
-        """Takes in a piece of the body, or holds the endpoint back."""
+        """Buffers a part of the body, or pauses the transfer."""
         if self.aborted:
             return 0
         if self._size >= MAX_BUFFERED:
@@ -97,7 +96,7 @@
         return len(chunk)
 
     def on_end(self, error: errors.EndpointError | None) -> None:
-        """Notes that nothing more comes."""
+        """Handles the end of the transfer."""
         self._curl = None
         self._ended = True
         self._error = error
@@ -105,46 +104,48 @@
 
     @property
     def transfer(self) -> Any:
-        """The library's handle of the transfer, or None when it is over."""
+        """The transfer handle of the library, or None after its end."""
         return self._curl
 
     # Called by the relay.
 
     @property
     def buffered(self) -> int:
-        """Bytes of the body that wait to be read."""
+        """Number of buffered bytes of the body."""
         return self._size
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more comes from the endpoint."""
+        """Whether the transfer has ended."""
         return self._ended
 
     @property
     def told(self) -> ResponseHead | None:
-        """The status and headers, once they have come."""
+        """Status and headers, or None if not yet received."""
         return self._head
 
     async def head(self) -> ResponseHead:
         """Waits for the status and headers.
 
         Raises:
-            EndpointError: If the answer breaks off before them.
+            EndpointError: If the transfer ends before them.
         """
         while self._head is None:
             if self._ended:
-                raise self._error or errors.EndpointBrokenError("empty answer")
+                raise self._error or errors.EndpointBrokenError(
+                    "empty response"
+                )
             await self._wait()
         return self._head
 
     async def read(self) -> bytes:
-        """Waits for more of the body and takes all that is there.
+        """Waits for data and returns all buffered bytes of the body.
 
         Returns:
-            The bytes, or none at the end of a whole answer.
+            The bytes, or empty bytes at the end of a complete response.
 
         Raises:
-            EndpointError: If the answer broke off.
+            EndpointError: If the transfer failed.
         """
         while not self._chunks:
             if self._ended:
@@ -168,7 +169,7 @@
             try:
                 self._curl.pause(pycurl.PAUSE_CONT)
             except pycurl.error:
-                # The transfer has failed meanwhile; `on_end` follows.
+                # The transfer has failed; `on_end` is called next.
                 return
 
     def _finish_head(self) -> None:
--- a/tests/test_endpoint_client.py
+++ b/tests/test_endpoint_client.py
@@ -1,4 +1,4 @@
-"""How often a request reaches a server, and what is said of it."""
+"""Deliveries and reported errors of the endpoint client."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,7 +11,7 @@
 
 
 class Server:
-    """Answers calls, and closes without an answer when told to die."""
+    """Responds to calls; closes without a response on body `die`."""
 
     def __init__(self) -> None:
         self.calls: list[bytes] = []
@@ -124,10 +124,10 @@
 async def test_connection_time_that_ends_in_a_hold_up_is_not_reached(
     server: Server, http: client.EndpointClient
 ) -> None:
-    """The time to connect ends while the connection already stands.
+    """The connect timeout expires after the connection was established.
 
-    A call of which no byte left may be told as not reached; one that the
-    server took may not.
+    A call may be reported as not reached only if no byte of it was sent, never
+    if the server received it.
     """
     streams = [
         http.open(client.EndpointRequest("POST", server.url, [], b"x"))
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -1,6 +1,6 @@
-"""Connections that end, or are made, while the event loop is held up.
+"""Connections closed or established while the event loop is blocked.
 
-The state of the socket decides, not what the loop has seen of it.
+The state of the socket decides, not the events that the loop has processed.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 async def kept_connection(
     connections: pool.EndpointPool, peer: raw_peers.RawPeer
 ) -> tuple[client.ClientConnection, socket.socket]:
-    """Returns an idle connection of the pool and its other side."""
+    """Returns an idle connection of the pool and its peer socket."""
     kept = await connections.acquire(raw_peers.endpoint_at(peer), True)
     other_side = await peer.accept()
     kept.send(*ASK)
@@ -41,10 +41,10 @@
 async def test_kept_connection_whose_end_is_in_the_socket_is_not_used(
     peer: raw_peers.RawPeer,
 ) -> None:
-    # Symptom: an unsafe request got 502 although the endpoint had closed the
-    # kept connection before it was sent. Sequence: the end arrives, and in the
-    # same pass a request takes the connection. Cause: the pool asked what the
-    # loop had seen so far, not the socket.
+    # Guards against a 502 for an unsafe request although the endpoint had
+    # closed the idle connection before the request was sent: the close arrived
+    # in the loop iteration in which the request acquired the connection, and
+    # the pool checked the events processed so far instead of the socket.
     connections = pool.EndpointPool(lambda _: 4)
     kept, other_side = await kept_connection(connections, peer)
     other_side.close()
@@ -79,8 +79,8 @@
 async def test_new_connection_that_was_reset_at_once_gets_no_request(
     peer: raw_peers.RawPeer,
 ) -> None:
-    # An endpoint resets connections beyond its limit: nothing is sent there,
-    # and it is not taken for one that cannot be reached.
+    # An endpoint resets connections beyond its limit: nothing is sent on them,
+    # and the endpoint is not considered unreachable.
     connections = pool.EndpointPool(lambda _: 4)
     taking = asyncio.create_task(
         connections.acquire(raw_peers.endpoint_at(peer), False)
@@ -97,9 +97,9 @@
 async def test_lack_of_descriptors_is_no_fault_of_the_endpoint(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Symptom: a client's connection ended without an answer, and each time
-    # the box had one connection less for the endpoint. Cause: the error of
-    # the socket call left acquire as it was, past its count.
+    # Guards against a client connection closed without a response, and a leaked
+    # connection slot of the endpoint each time: the error of the socket call
+    # propagated from acquire unconverted and bypassed its accounting.
     connections = pool.EndpointPool(lambda _: 4)
     monkeypatch.setattr(client.socket, "socket", raw_peers.no_descriptors)
     with pytest.raises(errors.EndpointBusyError):
@@ -110,9 +110,10 @@
 async def test_connection_that_is_made_during_a_hold_up_counts(
     peer: raw_peers.RawPeer,
 ) -> None:
-    # Symptom: after a hold-up sound endpoints were ejected as "not reached".
-    # Sequence: the connection stands and its time-out is due in one pass.
-    # Cause: the time-out cancelled the task that the connection had woken.
+    # Guards against healthy endpoints being ejected as "not reached" after the
+    # event loop was blocked: the connection is established and its timeout
+    # expires in the same iteration, and the timeout cancelled the task that the
+    # connection had woken.
     connection = client.ClientConnection(peer.address)
     opening = asyncio.create_task(connection.open(raw_peers.HOLD_UP_S / 3))
     await asyncio.sleep(0)
@@ -123,7 +124,7 @@
 
 
 async def test_connection_that_nobody_accepts_is_given_up() -> None:
-    # A full queue of new connections drops the opening packet.
+    # A full accept queue drops the SYN packet.
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     host, port = listener.getsockname()
     waiting = [client.ClientConnection(f"{host}:{port}") for _ in range(4)]
@@ -186,8 +187,8 @@
 async def test_idle_time_that_is_no_number_does_not_fail_its_answer(
     peer: raw_peers.RawPeer, told: str, kept_s: float | None
 ) -> None:
-    # An answer with such a header raised what nobody expects as its head was
-    # read: its client got 502 for a request that the endpoint had served.
+    # Guards against a 502 for a request that the endpoint had served: such a
+    # header raised an unhandled exception while the head was read.
     connection = client.ClientConnection(peer.address)
     await connection.open(5.0)
     connection.send(*ASK)
--- a/tools/broken_builds.py
+++ b/tools/broken_builds.py
@@ -64,7 +64,7 @@
     BrokenBuild(
         "half an event is kept when a run goes on",
         "martenjunction/endpoints/engine_protocol.py",
-        '        """Forgets half an event, before the run is continued."""\n'
+        '        """Discards an incomplete event before a run continues."""\n'
         '        self._tail = b""',
         '        """Keeps half an event."""',
         "An engine cuts streams in the middle of events",
