--- a/martenjunction/endpoints/attempt.py
+++ b/martenjunction/endpoints/attempt.py
@@ -11,10 +11,10 @@
 
 # Maximum number of response heads read per attempt, including stale
 # responses to other requests.
-MAX_FOREIGN_ANSWERS = 2
+MAX_RESPONSE_HEADS = 2
 
 # Maximum size of a response that is buffered completely, in bytes.
-MAX_WHOLE_BYTES = 8 * 1024 * 1024
+MAX_BUFFERED_BODY_BYTES = 8 * 1024 * 1024
 
 
 class Attempt:
@@ -68,7 +68,7 @@
             EndpointMismatchError: If only stale responses arrive.
         """
         try:
-            for _ in range(MAX_FOREIGN_ANSWERS):
+            for _ in range(MAX_RESPONSE_HEADS):
                 head = await self._connection.read_head()
                 if headers.answers_request(head, self._request_id):
                     return head
@@ -89,10 +89,10 @@
         """
         parts = []
         size = 0
-        async for part in self._pieces():
+        async for part in self._read_parts():
             parts.append(part)
             size += len(part)
-            if size > MAX_WHOLE_BYTES:
+            if size > MAX_BUFFERED_BODY_BYTES:
                 self.abort()
                 raise errors.EndpointBrokenError("response body too large")
         return b"".join(parts)
@@ -105,7 +105,7 @@
                 within an event.
         """
         splitter = event_stream.EventSplitter()
-        async for part in self._pieces():
+        async for part in self._read_parts():
             events = splitter.feed(part)
             if events:
                 yield events
@@ -121,7 +121,7 @@
         """Closes the connection, so that the endpoint cancels the request."""
         self._connection.abort()
 
-    async def _pieces(self) -> AsyncIterator[bytes]:
+    async def _read_parts(self) -> AsyncIterator[bytes]:
         try:
             while part := await self._connection.read_body():
                 yield part
--- a/martenjunction/endpoints/client.py
+++ b/martenjunction/endpoints/client.py
@@ -18,7 +18,7 @@
 
 # The relay enforces its own timeouts; this is a safety net for leaked
 # transfers.
-TRANSFER_TIMEOUT = 24 * 3600.0
+TRANSFER_TIMEOUT_S = 24 * 3600.0
 
 # Errors that curl reports if no connection was established, provided that no
 # byte of the request was sent over an earlier connection.
@@ -88,7 +88,7 @@
             headers=headers,
             body=request.body,
             connect_timeout=CONNECT_TIMEOUT,
-            request_timeout=TRANSFER_TIMEOUT,
+            request_timeout=TRANSFER_TIMEOUT_S,
             follow_redirects=False,
             decompress_response=False,
             allow_nonstandard_methods=True,
@@ -97,7 +97,7 @@
         # On success and on failure, `_finish` has set `request_bytes` of the
         # stream by then.
         future = self.fetch(http_request, raise_error=False)
-        future.add_done_callback(lambda done: _end(stream, done))
+        future.add_done_callback(lambda done: _report_end(stream, done))
         return stream
 
     def cancel(self, stream: streams.EndpointStream) -> None:
@@ -149,14 +149,16 @@
     curl.setopt(pycurl.FRESH_CONNECT, 1 if once else 0)
 
 
-def _end(
+def _report_end(
     stream: streams.EndpointStream,
     done: "asyncio.Future[httpclient.HTTPResponse]",
 ) -> None:
     failure = done.exception()
     if failure is None:
         response = done.result()
-        failure = response.error if response.code == FAILED_TRANSFER else None
+        failure = (
+            response.error if response.code == FAILED_TRANSFER_STATUS else None
+        )
     stream.on_end(_to_endpoint_error(failure, stream.request_bytes))
 
 
@@ -178,4 +180,4 @@
 
 
 # Status with which tornado marks a failed transfer.
-FAILED_TRANSFER = 599
+FAILED_TRANSFER_STATUS = 599
--- a/martenjunction/endpoints/engine_protocol.py
+++ b/martenjunction/endpoints/engine_protocol.py
@@ -152,7 +152,7 @@
         end += len(EVENT_END)
         whole = data[:end]
         self._tail = data[end:]
-        self._count(whole)
+        self._check_sequence(whole)
         self._events.append(whole)
         return whole
 
@@ -162,7 +162,7 @@
 
     def text(self) -> str:
         """Returns the text of all complete events."""
-        return "".join(_content(chunk) for chunk in self.chunks())
+        return "".join(_extract_content(chunk) for chunk in self.chunks())
 
     def chunks(self) -> list[dict[str, Any]]:
         """Returns the parsed chunks of all complete events.
@@ -172,7 +172,7 @@
         """
         parsed = []
         for event in b"".join(self._events).split(EVENT_END):
-            data = _data_of(event)
+            data = _extract_data(event)
             if not data or data == b"[DONE]":
                 continue
             try:
@@ -183,11 +183,11 @@
                 ) from error
         return parsed
 
-    def _count(self, whole: bytes) -> None:
+    def _check_sequence(self, whole: bytes) -> None:
         numbered = whole.count(b"\n" + ID_FIELD)
         numbered += whole.startswith(ID_FIELD)
         if numbered:
-            last = _last_id(whole)
+            last = _parse_last_id(whole)
             if last != self._tokens + numbered:
                 raise errors.EndpointMismatchError(
                     f"event {last} follows event {self._tokens}"
@@ -197,7 +197,7 @@
             self._done = True
 
 
-def _last_id(whole: bytes) -> int:
+def _parse_last_id(whole: bytes) -> int:
     start = whole.rfind(ID_FIELD) + len(ID_FIELD)
     line = whole[start : whole.index(b"\n", start)]
     try:
@@ -208,14 +208,14 @@
         ) from error
 
 
-def _data_of(event: bytes) -> bytes:
+def _extract_data(event: bytes) -> bytes:
     for line in event.split(b"\n"):
         if line.startswith(b"data:"):
             return line[len(b"data:") :].strip()
     return b""
 
 
-def _content(chunk: dict[str, Any]) -> str:
+def _extract_content(chunk: dict[str, Any]) -> str:
     choices = chunk.get("choices") or [{}]
     delta = choices[0].get("delta") or {}
     return str(delta.get("content") or "")
--- a/martenjunction/endpoints/event_stream.py
+++ b/martenjunction/endpoints/event_stream.py
@@ -29,12 +29,12 @@
     """Buffers bytes until an event is complete."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def partial(self) -> bool:
         """Whether bytes of an incomplete event are buffered."""
-        return bool(self._rest.strip(b"\r\n"))
+        return bool(self._buffer.strip(b"\r\n"))
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Adds received bytes; returns the events that are now complete.
@@ -42,7 +42,7 @@
         Raises:
             EndpointBrokenError: If an event exceeds the maximum size.
         """
-        rest = self._rest + data
+        rest = self._buffer + data
         events = []
         start = 0
         for match in _BLANK_LINE.finditer(rest):
@@ -51,7 +51,7 @@
             found = _ID.search(piece)
             name = found.group(1).decode("latin-1") if found else None
             events.append(StreamEvent(piece, name))
-        self._rest = rest[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = rest[start:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise errors.EndpointBrokenError("event too large")
         return events
--- a/martenjunction/endpoints/loads.py
+++ b/martenjunction/endpoints/loads.py
@@ -18,9 +18,9 @@
 # Minimum seconds between two polls of an endpoint, and maximum polls per second
 # of all endpoints together: with many endpoints each is polled less often, to
 # limit control traffic.
-POLL_INTERVAL = 2.0
-MAX_POLLS = 5.0
-MAX_REPORT = 4096
+POLL_INTERVAL_S = 2.0
+MAX_POLLS_PER_S = 5.0
+MAX_REPORT_BYTES = 4096
 
 
 @dataclasses.dataclass(frozen=True)
@@ -41,7 +41,7 @@
 _ADAPTER = pydantic.TypeAdapter(Load)
 
 OnLoad = Callable[[str, Load], None]
-OnSilent = Callable[[str], None]
+OnUnreachable = Callable[[str], None]
 
 
 class LoadPoller:
@@ -53,7 +53,7 @@
         clock: timers.Timers,
         endpoints: Callable[[], list[fleet.Endpoint]],
         on_load: OnLoad,
-        on_silent: OnSilent,
+        on_unreachable: OnUnreachable,
     ) -> None:
         """Initializes the poller; `start` starts it.
 
@@ -62,36 +62,36 @@
             clock: Timers that trigger the polls.
             endpoints: Returns the endpoints to poll.
             on_load: Called with each load report.
-            on_silent: Called with the name of each unreachable endpoint.
+            on_unreachable: Called with the name of each unreachable endpoint.
         """
         self._http = http
         self._timers = clock
         self._endpoints = endpoints
         self._on_load = on_load
-        self._on_silent = on_silent
-        self._asking: set[str] = set()
-        self._due: dict[str, float] = {}
+        self._on_unreachable = on_unreachable
+        self._in_flight: set[str] = set()
+        self._next_poll_at: dict[str, float] = {}
 
     def start(self) -> None:
         """Starts to poll."""
-        self._timers.subscribe("loads", POLL_INTERVAL / 20, self._tick)
+        self._timers.subscribe("loads", POLL_INTERVAL_S / 20, self._tick)
 
     def _tick(self) -> None:
         """Polls the endpoints that are due, so that polls are spread out."""
         now = self._timers.now()
         endpoints = self._endpoints()
-        interval = max(POLL_INTERVAL, len(endpoints) / MAX_POLLS)
+        interval = max(POLL_INTERVAL_S, len(endpoints) / MAX_POLLS_PER_S)
         for endpoint in endpoints:
-            due = self._due.get(endpoint.name, 0.0)
-            if due <= now and endpoint.name not in self._asking:
-                self._due[endpoint.name] = now + interval
-                self._asking.add(endpoint.name)
+            due = self._next_poll_at.get(endpoint.name, 0.0)
+            if due <= now and endpoint.name not in self._in_flight:
+                self._next_poll_at[endpoint.name] = now + interval
+                self._in_flight.add(endpoint.name)
                 self._start(endpoint)
 
     def _start(self, endpoint: fleet.Endpoint) -> None:
-        ioloop.IOLoop.current().spawn_callback(self._ask, endpoint)
+        ioloop.IOLoop.current().spawn_callback(self._poll, endpoint)
 
-    async def _ask(self, endpoint: fleet.Endpoint) -> None:
+    async def _poll(self, endpoint: fleet.Endpoint) -> None:
         request = client.EndpointRequest(
             "GET", f"http://{endpoint.address}{engine_protocol.LOAD_PATH}", []
         )
@@ -99,11 +99,11 @@
         try:
             head = await stream.head()
             body = await stream.read()
-            if head.status == 200 and len(body) <= MAX_REPORT:
+            if head.status == 200 and len(body) <= MAX_REPORT_BYTES:
                 self._on_load(endpoint.name, _ADAPTER.validate_json(body))
         except errors.EndpointNotReachedError:
-            self._on_silent(endpoint.name)
+            self._on_unreachable(endpoint.name)
         except (errors.EndpointError, pydantic.ValidationError) as error:
             logger.info("no load report from %s: %s", endpoint.name, error)
         finally:
-            self._asking.discard(endpoint.name)
+            self._in_flight.discard(endpoint.name)
--- a/martenjunction/endpoints/pool.py
+++ b/martenjunction/endpoints/pool.py
@@ -18,14 +18,14 @@
 
 # Seconds by which an idle connection is closed before the endpoint's idle
 # timeout.
-IDLE_MARGIN_S = 1.0
+IDLE_TIMEOUT_MARGIN_S = 1.0
 
 # Maximum idle time in seconds of a connection for a request that may not be
 # repeated: if it were lost, its outcome would have to be reported as unknown.
-UNREPEATABLE_IDLE_S = 2.0
+MAX_UNREPEATABLE_IDLE_S = 2.0
 
 # Keep-alive timeout in seconds that is assumed if the endpoint announces none.
-DEFAULT_KEEP_S = 4.0
+DEFAULT_KEEP_ALIVE_S = 4.0
 
 
 OnHead = Callable[[model.Endpoint, messages.ResponseHead], None]
@@ -42,14 +42,14 @@
 class EndpointPool:
     """Connections of this box to all endpoints."""
 
-    def __init__(self, share: Callable[[str], int]) -> None:
+    def __init__(self, connection_limit: Callable[[str], int]) -> None:
         """Initializes an empty pool.
 
         Args:
-            share: Returns the maximum number of connections of this box to an
-                endpoint of a service.
+            connection_limit: Returns the maximum number of connections of this
+                box to an endpoint of a service.
         """
-        self._share = share
+        self._connection_limit = connection_limit
         self._endpoints: dict[str, _Endpoint] = {}
         self._opened = 0
         self._on_head: OnHead = lambda endpoint, head: None
@@ -83,7 +83,7 @@
             EndpointNotReachedError: If the connection cannot be opened.
         """
         entry = self._endpoints.setdefault(endpoint.id, _Endpoint())
-        connection = self._take_idle(entry, repeatable)
+        connection = self._acquire_idle(entry, repeatable)
         return connection or await self.connect(endpoint)
 
     async def connect(
@@ -96,7 +96,7 @@
             EndpointNotReachedError: If the connection cannot be opened.
         """
         entry = self._endpoints.setdefault(endpoint.id, _Endpoint())
-        if entry.open >= self._share(endpoint.service):
+        if entry.open >= self._connection_limit(endpoint.service):
             raise errors.EndpointBusyError("connection limit reached")
         connection = client.ClientConnection(
             endpoint.address, lambda head: self._on_head(endpoint, head)
@@ -140,7 +140,8 @@
                 entry,
                 lambda c: (
                     not c.is_reusable()
-                    or now - c.idle_since > _keep_s(c) - IDLE_MARGIN_S
+                    or now - c.idle_since
+                    > _keep_alive_s(c) - IDLE_TIMEOUT_MARGIN_S
                 ),
             )
 
@@ -161,15 +162,15 @@
         if not connection.is_quiet():
             raise errors.EndpointBusyError("new connection closed immediately")
 
-    def _take_idle(
+    def _acquire_idle(
         self, entry: _Endpoint, repeatable: bool
     ) -> client.ClientConnection | None:
         now = time.monotonic()
         while entry.idle:
             connection = entry.idle.pop()
-            limit = _keep_s(connection) - IDLE_MARGIN_S
+            limit = _keep_alive_s(connection) - IDLE_TIMEOUT_MARGIN_S
             if not repeatable:
-                limit = min(limit, UNREPEATABLE_IDLE_S)
+                limit = min(limit, MAX_UNREPEATABLE_IDLE_S)
             fresh = now - connection.idle_since < limit
             # The socket itself is checked: a request that may not be repeated
             # would have an unknown outcome if sent on a closed connection.
@@ -194,6 +195,6 @@
         entry.idle = kept
 
 
-def _keep_s(connection: client.ClientConnection) -> float:
-    told = connection.keep_alive_timeout()
-    return DEFAULT_KEEP_S if told is None else told
+def _keep_alive_s(connection: client.ClientConnection) -> float:
+    announced = connection.keep_alive_timeout()
+    return DEFAULT_KEEP_ALIVE_S if announced is None else announced
--- a/martenjunction/endpoints/streams.py
+++ b/martenjunction/endpoints/streams.py
@@ -13,7 +13,7 @@
 MAX_BUFFERED = 64 * 1024
 
 # Maximum size of the response headers, in bytes.
-MAX_HEADER = 64 * 1024
+MAX_HEADER_BYTES = 64 * 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -34,8 +34,8 @@
     @property
     def rest_s(self) -> float:
         """Back-off in seconds that the endpoint requests, or 0."""
-        told = self.get(http_headers.RETRY_AFTER)
-        return 0.0 if told is None else http_headers.decimal_of(told) or 0.0
+        value = self.get(http_headers.RETRY_AFTER)
+        return 0.0 if value is None else http_headers.decimal_of(value) or 0.0
 
     @property
     def limit_per_s(self) -> float | None:
@@ -73,14 +73,14 @@
     def on_header(self, line: bytes) -> int | None:
         """Handles a header line."""
         self._head_size += len(line)
-        if self._head_size > MAX_HEADER:
+        if self._head_size > MAX_HEADER_BYTES:
             return 0
         if line.startswith(b"HTTP/"):
             self._head_lines = [line]
         elif line.strip():
             self._head_lines.append(line)
         else:
-            self._finish_head()
+            self._parse_head()
         return None
 
     def on_body(self, chunk: bytes) -> int:
@@ -172,7 +172,7 @@
                 # The transfer has failed; `on_end` is called next.
                 return
 
-    def _finish_head(self) -> None:
+    def _parse_head(self) -> None:
         if not self._head_lines:
             return
         status = int(self._head_lines[0].split(None, 2)[1])
--- a/tests/test_endpoint_client.py
+++ b/tests/test_endpoint_client.py
@@ -67,7 +67,7 @@
     return await stream.read()
 
 
-async def test_dead_kept_connection_does_not_double_a_call(
+async def test_closed_idle_connection_does_not_duplicate_call(
     server: Server, http: client.EndpointClient
 ) -> None:
     assert await call(http, server.url, b"a", once=False) == b"ok"
@@ -76,7 +76,7 @@
     assert server.calls.count(b"die") == 1
 
 
-async def test_call_that_was_read_is_never_not_reached(
+async def test_received_call_is_never_reported_not_reached(
     server: Server, http: client.EndpointClient
 ) -> None:
     server.close_port = True
@@ -86,12 +86,14 @@
         await call(http, url, b"die", once=False)
 
 
-async def test_nobody_listens(http: client.EndpointClient) -> None:
+async def test_refused_connection_raises_error(
+    http: client.EndpointClient,
+) -> None:
     with pytest.raises(errors.EndpointNotReachedError):
         await call(http, "http://127.0.0.1:1/", b"a", once=True)
 
 
-async def test_cancelled_call_ends_at_once(
+async def test_cancelled_call_fails_immediately(
     http: client.EndpointClient,
 ) -> None:
     silent = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
@@ -107,7 +109,7 @@
     silent.close()
 
 
-async def test_call_cancelled_while_it_queues_is_not_sent(
+async def test_call_cancelled_in_queue_is_not_sent(
     server: Server,
 ) -> None:
     http = client.EndpointClient(1)
@@ -121,7 +123,7 @@
     http.close()
 
 
-async def test_connection_time_that_ends_in_a_hold_up_is_not_reached(
+async def test_connect_timeout_during_blocked_loop_is_not_reached(
     server: Server, http: client.EndpointClient
 ) -> None:
     """The connect timeout expires after the connection was established.
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -15,19 +15,19 @@
 from martenjunction.http1 import client
 from tests import raw_peers
 
-ASK = (b"GET", b"/x", [(b"Host", b"a")], b"")
+REQUEST = (b"GET", b"/x", [(b"Host", b"a")], b"")
 
 
 # Connections to endpoints.
 
 
-async def kept_connection(
+async def idle_connection_of(
     connections: pool.EndpointPool, peer: raw_peers.RawPeer
 ) -> tuple[client.ClientConnection, socket.socket]:
     """Returns an idle connection of the pool and its peer socket."""
     kept = await connections.acquire(raw_peers.endpoint_at(peer), True)
     other_side = await peer.accept()
-    kept.send(*ASK)
+    kept.send(*REQUEST)
     assert await peer.request(other_side)
     other_side.send(raw_peers.answer(b"ok"))
     await kept.read_head()
@@ -38,7 +38,7 @@
     return kept, other_side
 
 
-async def test_kept_connection_whose_end_is_in_the_socket_is_not_used(
+async def test_idle_connection_with_unprocessed_close_is_not_reused(
     peer: raw_peers.RawPeer,
 ) -> None:
     # Guards against a 502 for an unsafe request although the endpoint had
@@ -46,37 +46,37 @@
     # in the loop iteration in which the request acquired the connection, and
     # the pool checked the events processed so far instead of the socket.
     connections = pool.EndpointPool(lambda _: 4)
-    kept, other_side = await kept_connection(connections, peer)
+    kept, other_side = await idle_connection_of(connections, peer)
     other_side.close()
     taken = await connections.acquire(raw_peers.endpoint_at(peer), False)
     assert taken is not kept
     assert connections.open_connections("e1") == 1
-    taken.send(*ASK)
+    taken.send(*REQUEST)
     assert await peer.request(await peer.accept())
     taken.abort()
 
 
-async def test_kept_connection_with_stray_bytes_is_not_used(
+async def test_idle_connection_with_unsolicited_bytes_is_not_reused(
     peer: raw_peers.RawPeer,
 ) -> None:
     connections = pool.EndpointPool(lambda _: 4)
-    kept, other_side = await kept_connection(connections, peer)
+    kept, other_side = await idle_connection_of(connections, peer)
     other_side.send(raw_peers.answer(b"one too many"))
     taken = await connections.acquire(raw_peers.endpoint_at(peer), True)
     assert taken is not kept
     taken.abort()
 
 
-async def test_quiet_kept_connection_is_used_again(
+async def test_quiet_idle_connection_is_reused(
     peer: raw_peers.RawPeer,
 ) -> None:
     connections = pool.EndpointPool(lambda _: 4)
-    kept, _ = await kept_connection(connections, peer)
+    kept, _ = await idle_connection_of(connections, peer)
     assert await connections.acquire(raw_peers.endpoint_at(peer), False) is kept
     kept.abort()
 
 
-async def test_new_connection_that_was_reset_at_once_gets_no_request(
+async def test_new_connection_reset_immediately_gets_no_request(
     peer: raw_peers.RawPeer,
 ) -> None:
     # An endpoint resets connections beyond its limit: nothing is sent on them,
@@ -94,7 +94,7 @@
     assert connections.open_connections("e1") == 0
 
 
-async def test_lack_of_descriptors_is_no_fault_of_the_endpoint(
+async def test_descriptor_exhaustion_is_not_blamed_on_endpoint(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Guards against a client connection closed without a response, and a leaked
@@ -107,7 +107,7 @@
     assert connections.open_connections("e1") == 0
 
 
-async def test_connection_that_is_made_during_a_hold_up_counts(
+async def test_connection_established_during_blocked_loop_counts(
     peer: raw_peers.RawPeer,
 ) -> None:
     # Guards against healthy endpoints being ejected as "not reached" after the
@@ -123,7 +123,7 @@
     connection.abort()
 
 
-async def test_connection_that_nobody_accepts_is_given_up() -> None:
+async def test_connection_not_accepted_times_out() -> None:
     # A full accept queue drops the SYN packet.
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     host, port = listener.getsockname()
@@ -138,12 +138,12 @@
     listener.close()
 
 
-async def test_failed_read_is_a_lost_connection(
+async def test_failed_read_raises_connection_lost(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connection = client.ClientConnection(peer.address)
     await connection.open(5.0)
-    connection.send(*ASK)
+    connection.send(*REQUEST)
 
     def fail(*_: object, **__: object) -> NoReturn:
         raise OSError(errno.EHOSTUNREACH, "No route to host")
@@ -154,12 +154,12 @@
     connection.abort()
 
 
-async def test_whole_answer_stands_though_the_connection_fails_after_it(
+async def test_complete_response_survives_later_connection_failure(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connection = client.ClientConnection(peer.address)
     await connection.open(5.0)
-    connection.send(*ASK)
+    connection.send(*REQUEST)
     (await peer.accept()).send(raw_peers.answer(b"ok"))
     await connection.read_head()
     assert await connection.read_body() == b"ok"
@@ -184,14 +184,14 @@
         ("max=9", None),
     ],
 )
-async def test_idle_time_that_is_no_number_does_not_fail_its_answer(
+async def test_invalid_keep_alive_timeout_does_not_fail_response(
     peer: raw_peers.RawPeer, told: str, kept_s: float | None
 ) -> None:
     # Guards against a 502 for a request that the endpoint had served: such a
     # header raised an unhandled exception while the head was read.
     connection = client.ClientConnection(peer.address)
     await connection.open(5.0)
-    connection.send(*ASK)
+    connection.send(*REQUEST)
     other_side = await peer.accept()
     assert await peer.request(other_side)
     other_side.send(raw_peers.answer(b"ok", f"Keep-Alive: {told}"))
