--- a/martenjunction/relay/__init__.py
+++ b/martenjunction/relay/__init__.py
@@ -1,1 +1,1 @@
-"""One request, from accept to last byte."""
+"""Relaying of requests from callers to endpoints."""
--- a/martenjunction/relay/relay.py
+++ b/martenjunction/relay/relay.py
@@ -1,4 +1,4 @@
-"""Takes one request through its runs: wait, send, pass on, and try again."""
+"""Relays a request: queueing, sending, streaming and retrying."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,21 +20,21 @@
 from martenjunction.relay import runs
 from martenjunction.relay import sinks
 
-# Runs that may be resumed at their own endpoint.
+# Maximum number of resumes of a run at the same endpoint.
 MAX_RESUMES = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class Tools:
-    """What all relays of a daemon share.
+    """Dependencies shared by all relays of a daemon.
 
     Attributes:
-        broker: Places requests with cells.
-        http: The client for endpoints.
-        clock: Tells the time.
-        budget: Limits retries.
+        broker: Submits requests to cells.
+        http: HTTP client for endpoints.
+        clock: Clock and timers.
+        budget: Retry budget.
         endpoint: Returns the configuration of an endpoint, or None.
-        rng: Jitter.
+        rng: Random numbers for jitter.
     """
 
     broker: broker.Broker
@@ -46,17 +46,17 @@
 
 
 class Relay:
-    """One request at its entry daemon."""
+    """Relays one request at its entry daemon."""
 
     def __init__(
         self, request: requests.RoutedRequest, sink: sinks.Sink, tools: Tools
     ) -> None:
-        """Makes a relay; `run` does the work.
+        """Initializes the relay; `run` starts it.
 
         Args:
             request: The request.
-            sink: The caller's side.
-            tools: What all relays share.
+            sink: Receives the response for the caller.
+            tools: Dependencies shared by all relays.
         """
         self._request = request
         self._sink = sink
@@ -84,24 +84,24 @@
 
     @property
     def request(self) -> requests.RoutedRequest:
-        """The request."""
+        """The request to relay."""
         return self._request
 
     @property
     def buffered(self) -> int:
-        """Bytes of the answer that wait for the caller in this process."""
+        """Bytes of the response that are buffered for the caller."""
         return self._stream.buffered if self._stream is not None else 0
 
     @property
     def ticket(self) -> broker.Ticket | None:
-        """Where it waits or runs, or None."""
+        """Ticket for the cell that queues or runs the request, or None."""
         return self._ticket
 
     async def run(self) -> results.Result:
-        """Takes the request to its end.
+        """Relays the request until it is complete or has failed.
 
         Returns:
-            How it ended; it raises nothing.
+            The result; failures are returned, not raised.
         """
         loop = asyncio.get_running_loop()
         limit = self._request.service_class.time_limit
@@ -113,7 +113,7 @@
             self._give_up()
 
     def stop(self, reason: broker.StopReason) -> None:
-        """Ends the request's wait or run now, whatever it is doing."""
+        """Cancels the queued or running request immediately."""
         if self._stop is not None:
             return
         self._stop = reason
@@ -124,14 +124,14 @@
             ticket.verdicts.put(broker.Stopped(reason))
 
     def stop_after_run(self, reason: broker.StopReason) -> None:
-        """Lets a run under way end and sends nothing more."""
+        """Lets the current run finish, but starts no other."""
         if self._stream is None:
             self.stop(reason)
         else:
             self._stop_after_run = reason
 
     def check_stalled(self, now: float) -> None:
-        """Breaks a repeatable run off that has been silent for too long."""
+        """Cancels a repeatable run that exceeds its stall timeout."""
         if self._stream is None or self._writing:
             return
         if not self._request.repeatable:
@@ -158,7 +158,7 @@
                 return result
             await self._pause(ending)
 
-    # Waiting for a place.
+    # Queueing.
 
     async def _wait_for_place(self) -> broker.Verdict:
         if self._stop is not None:
@@ -201,7 +201,7 @@
         )
 
     def _on_preempted(self) -> None:
-        # Between the grant and the first byte sent there is nothing to stop.
+        # Between the grant and the first byte sent there is nothing to cancel.
         if self._stream is not None:
             self.stop(broker.StopReason.PREEMPTED)
 
@@ -251,7 +251,7 @@
             self.stop(broker.StopReason.CALLER_LEFT)
             return self._note(asks.Ending.CANCELLED)
         except errors.EndpointNotReachedError:
-            # A resumed run was reached before.
+            # The endpoint of a resumed run was reached before.
             ending = asks.Ending.BROKEN if resume else asks.Ending.NOT_REACHED
             return self._note(ending)
         except errors.EndpointRefusedError as refusal:
@@ -319,14 +319,14 @@
             return
         cancelling = self.conversation.cancelling(endpoint.address)
         if cancelling is not None:
-            # Nothing waits for the answer: the engine also ends a run whose
-            # stream nobody takes up again.
+            # The response is not awaited: the engine also ends a run whose
+            # stream is not resumed.
             self._tools.http.open(cancelling)
 
     # After a run.
 
     def _after(self, ending: asks.Ending) -> results.Result | None:
-        """Returns how the request ended, or None to try again."""
+        """Returns the result of the request, or None to retry it."""
         if ending is asks.Ending.COMPLETE:
             self._tools.budget.success()
             return self._result(outcomes.Outcome.DONE)
@@ -348,8 +348,8 @@
         )
 
     def _may_try_again(self, ending: asks.Ending) -> bool:
-        # A run that brought the answer further does not count: what ends the
-        # request then is its length, its time limit or the retry budget.
+        # A run that delivered more tokens does not count as an attempt: the
+        # response length, the time limit and the retry budget bound these.
         gained = self.conversation.tokens > self._tokens_before
         self._fruitless = 0 if gained else self._fruitless + 1
         if self._fruitless >= retries.MAX_ATTEMPTS:
@@ -359,7 +359,7 @@
         begun = self._progress.outcome is outcomes.Outcome.RAN_PARTLY
         if begun and not self.conversation.can_continue:
             return False
-        # An attempt that reached nobody cost the endpoints nothing.
+        # An attempt that did not reach the endpoint put no load on it.
         free = ending is asks.Ending.NOT_REACHED
         return free or self._tools.budget.take()
 
@@ -370,7 +370,7 @@
             await asyncio.sleep(retries.pause_before(attempt, jitter))
 
     def _give_up(self) -> None:
-        """Gives back what is still held, however the request ended."""
+        """Releases the stream and the ticket that are still held."""
         if self._stream is not None:
             self._cancel_run()
         ticket = self._ticket
@@ -418,7 +418,7 @@
 
 
 class _Watched:
-    """A sink that tells its relay when the caller holds it up."""
+    """A sink that marks its relay as blocked while the caller is slow."""
 
     def __init__(self, relay: Relay, sink: sinks.Sink) -> None:
         self._relay = relay
@@ -435,7 +435,7 @@
             self._relay._writing = False
 
 
-# What a run that we broke off ourselves ended by.
+# Run endings for runs that the relay cancelled.
 _STOP_ENDINGS: dict[broker.StopReason | None, asks.Ending] = {
     broker.StopReason.PREEMPTED: asks.Ending.PREEMPTED,
     broker.StopReason.CALLER_LEFT: asks.Ending.CANCELLED,
@@ -443,7 +443,7 @@
     broker.StopReason.STALLED: asks.Ending.BROKEN,
 }
 
-# What an ending means for what the caller may be told.
+# Progress events for the endings of runs, from which the outcome is derived.
 _EVENTS: dict[asks.Ending, outcomes.Event] = {
     asks.Ending.COMPLETE: outcomes.Event.COMPLETE,
     asks.Ending.NOT_REACHED: outcomes.Event.NOT_REACHED,
--- a/martenjunction/relay/requests.py
+++ b/martenjunction/relay/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request once it is checked and classed."""
+"""Requests of callers after validation and classification."""
 
 import dataclasses
 from typing import Any
@@ -6,24 +6,24 @@
 from martenjunction import http_headers
 from martenjunction.config import fleet
 
-# Methods that a plain service may be sent twice (RFC 9110, section 9.2.2).
+# Methods whose requests may be retried (RFC 9110, section 9.2.2).
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 
 
 @dataclasses.dataclass(slots=True)
 class RoutedRequest:
-    """All that the relay needs to know.
+    """A validated and classified request.
 
     Attributes:
         request_id: Unique in the fleet.
         workspace: The workspace.
         kind: The request kind.
-        service: The service that answers it.
-        service_class: The class it was given.
-        repeatable: Whether it may be sent to an endpoint twice.
-        arrived: When it came in, on this daemon's clock.
-        prompt_tokens: Estimated length of the prompt.
-        expected_tokens: Estimated length of the answer.
+        service: The service that handles it.
+        service_class: The service class assigned to it.
+        repeatable: Whether it may be executed more than once.
+        arrived: Time of arrival, on this daemon's clock.
+        prompt_tokens: Estimated length of the prompt in tokens.
+        expected_tokens: Estimated length of the response.
         prefix: Hashes of the prompt's leading blocks.
         zones: Availability zones that the policy prefers.
         idempotency_key: The caller's key, or an empty string.
--- a/martenjunction/relay/results.py
+++ b/martenjunction/relay/results.py
@@ -1,4 +1,4 @@
-"""How a request ended, for the caller, the log and the metrics."""
+"""Results of requests, for the caller, the log and the metrics."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class FailureCode(enum.StrEnum):
-    """Stable words by which callers tell failures apart."""
+    """Stable error codes for callers."""
 
     SHED = "shed"
     NO_ENDPOINT = "no-endpoint"
@@ -20,7 +20,7 @@
     INTERNAL = "internal-error"
 
 
-# The HTTP status of each failure, where no part of an answer was sent yet.
+# HTTP status of each failure, if no part of a response was sent yet.
 STATUS = {
     FailureCode.SHED: 503,
     FailureCode.NO_ENDPOINT: 503,
@@ -36,17 +36,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """How one request ended.
+    """Result of a request.
 
     Attributes:
-        outcome: How far it got.
-        code: Why it failed, or None.
-        message: A sentence for people.
-        retry_after: Seconds after which the caller may come back, or None.
+        outcome: How far the request was executed.
+        code: Error code, or None.
+        message: Human-readable error message.
+        retry_after: Seconds after which the caller may retry, or None.
         endpoint: The last endpoint.
-        attempts: How often it was sent.
-        preemptions: How often it was preempted.
-        tokens: Tokens delivered to the caller.
+        attempts: Number of times it was sent.
+        preemptions: Number of times it was preempted.
+        tokens: Number of tokens delivered to the caller.
         first_token_s: Seconds from arrival to the first token, or None.
         duration_s: Seconds from arrival to the end.
     """
@@ -70,7 +70,7 @@
         return (self.duration_s - self.first_token_s) / (self.tokens - 1)
 
     def attains(self, first_token: float, between_tokens: float) -> bool:
-        """Returns whether a class's targets were met.
+        """Returns whether the targets of a service class were met.
 
         Args:
             first_token: Target for the first token, in seconds.
--- a/martenjunction/relay/runs.py
+++ b/martenjunction/relay/runs.py
@@ -1,4 +1,4 @@
-"""One run of a request at one endpoint, by kind of service."""
+"""Exchanges with endpoints, by kind of service."""
 
 import abc
 from typing import Protocol
@@ -15,14 +15,14 @@
 
 
 class OnFirstToken(Protocol):
-    """Called when the first part of an answer comes."""
+    """Callback for the first part of a response."""
 
     def __call__(self) -> None:
-        """Takes note of it."""
+        """Handles the first part of a response."""
 
 
 class Conversation(abc.ABC):
-    """What is said to endpoints for one request, over all its runs."""
+    """Exchange with endpoints for one request, over all its runs."""
 
     def __init__(self, request: requests.RoutedRequest) -> None:
         """Begins with nothing delivered."""
@@ -30,17 +30,17 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the caller has."""
+        """Number of tokens delivered to the caller."""
         return 0
 
     @property
     def can_resume(self) -> bool:
-        """Whether a broken run can go on at the same endpoint."""
+        """Whether a broken run can be resumed at the same endpoint."""
         return False
 
     @property
     def can_continue(self) -> bool:
-        """Whether a begun answer can go on at another endpoint."""
+        """Whether a partial response can be continued at another endpoint."""
         return False
 
     @abc.abstractmethod
@@ -52,7 +52,7 @@
         raise NotImplementedError
 
     def cancelling(self, address: str) -> client.EndpointRequest | None:
-        """Returns the request that cancels the run, if there is one."""
+        """Returns the request that cancels the run, or None."""
         return None
 
     @abc.abstractmethod
@@ -62,11 +62,12 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes the answer on until its end.
+        """Passes the complete response to the sink.
 
         Raises:
-            EndpointError: If it is refused, breaks off or is another's.
-            CallerGoneError: If the caller left.
+            EndpointError: If the endpoint refuses the request, or the response
+                is truncated or belongs to another request.
+            CallerGoneError: If the caller disconnected.
         """
 
 
@@ -77,7 +78,7 @@
 
 @conversations.register(fleet.ServiceKind.ENGINE)
 class EngineConversation(Conversation):
-    """A chat request with model engines."""
+    """Exchange of a chat request with model engines."""
 
     def __init__(self, request: requests.RoutedRequest) -> None:
         """Begins with nothing delivered."""
@@ -92,22 +93,22 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the caller has."""
+        """Number of tokens delivered to the caller."""
         return self._delivered.tokens
 
     @property
     def can_resume(self) -> bool:
-        """An engine keeps a run for a while after its stream broke."""
+        """Always true: engines retain a run after its stream breaks."""
         return True
 
     @property
     def can_continue(self) -> bool:
-        """An engine goes on from the tokens that the caller has."""
+        """Always true: engines continue from the tokens delivered so far."""
         return True
 
     @property
     def delivered(self) -> engine_protocol.Delivered:
-        """What the caller has."""
+        """Events delivered to the caller."""
         return self._delivered
 
     def opening(self, address: str) -> client.EndpointRequest:
@@ -135,7 +136,7 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes whole events on until the end of the answer."""
+        """Passes complete events to the sink until the response ends."""
         head = await stream.head()
         engine_protocol.check_head(head, self._chat.request_id)
         if head.status >= 400 and self._started:
@@ -152,15 +153,15 @@
                 on_first_token()
                 await sink.write(events)
         if not self._delivered.done:
-            raise errors.EndpointBrokenError("the stream ended early")
+            raise errors.EndpointBrokenError("the stream was truncated")
 
 
 @conversations.register(fleet.ServiceKind.PLAIN)
 class PlainConversation(Conversation):
-    """A call to a plain service."""
+    """Exchange of a call with a plain service."""
 
     def opening(self, address: str) -> client.EndpointRequest:
-        """Returns the call."""
+        """Returns the request to the plain service."""
         call = self._request.plain
         if call is None:
             raise errors.MartenjunctionError("not a call to a plain service")
@@ -180,7 +181,7 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes the answer on as it is."""
+        """Passes the response to the sink unchanged."""
         head = await stream.head()
         plain_protocol.check_head(head, self._request.request_id)
         on_first_token()
--- a/martenjunction/relay/sinks.py
+++ b/martenjunction/relay/sinks.py
@@ -1,4 +1,4 @@
-"""Where a relay puts an answer."""
+"""Interface through which a relay sends a response to the caller."""
 
 from typing import Protocol
 
@@ -6,18 +6,18 @@
 
 
 class CallerGoneError(Exception):
-    """The caller no longer reads."""
+    """The caller disconnected."""
 
 
 class Sink(Protocol):
-    """The caller's side of one request."""
+    """Receives the response to one request for the caller."""
 
     async def start(self, head: streams.ResponseHead) -> None:
-        """Takes the status and headers of the answer."""
+        """Sends the status and headers of the response."""
 
     async def write(self, data: bytes) -> None:
-        """Takes a part of the answer; returns when there is room for more.
+        """Sends a part of the response; waits until more can be sent.
 
         Raises:
-            CallerGoneError: If the caller left.
+            CallerGoneError: If the caller disconnected.
         """
