--- a/martenjunction/endpoints/streams.py
+++ b/martenjunction/endpoints/streams.py
@@ -120,7 +120,7 @@
         return self._ended
 
     @property
-    def told(self) -> ResponseHead | None:
+    def received_head(self) -> ResponseHead | None:
         """Status and headers, or None if not yet received."""
         return self._head
 
--- a/martenjunction/relay/relay.py
+++ b/martenjunction/relay/relay.py
@@ -68,18 +68,18 @@
         self._stream: streams.EndpointStream | None = None
         self._stop: broker.StopReason | None = None
         self._stop_after_run: broker.StopReason | None = None
-        self._avoid: frozenset[str] = frozenset()
+        self._excluded_endpoints: frozenset[str] = frozenset()
         self._preemptions = 0
         self._resumes = 0
-        self._rest_s = 0.0
-        self._told: streams.ResponseHead | None = None
-        self._fruitless = 0
-        self._tokens_before = 0
+        self._backoff_s = 0.0
+        self._response_head: streams.ResponseHead | None = None
+        self._attempts_without_progress = 0
+        self._tokens_before_run = 0
         self._first_token: float | None = None
         self._run_first_token: float | None = None
         self._run_started = 0.0
-        self._heard = 0.0
-        self._writing = False
+        self._last_activity_at = 0.0
+        self._sink_blocked = False
         self._endpoint = ""
 
     @property
@@ -110,7 +110,7 @@
             return await self._run()
         finally:
             timer.cancel()
-            self._give_up()
+            self._release()
 
     def stop(self, reason: broker.StopReason) -> None:
         """Cancels the queued or running request immediately."""
@@ -132,18 +132,18 @@
 
     def check_stalled(self, now: float) -> None:
         """Cancels a repeatable run that exceeds its stall timeout."""
-        if self._stream is None or self._writing:
+        if self._stream is None or self._sink_blocked:
             return
         if not self._request.repeatable:
             return
         limit = self._request.service_class.stall
-        if now - self._heard > limit:
+        if now - self._last_activity_at > limit:
             self.stop(broker.StopReason.STALLED)
 
     async def _run(self) -> results.Result:
         while True:
             try:
-                verdict = await self._wait_for_place()
+                verdict = await self._wait_for_slot()
             except broker.NoCellError:
                 return self._failed(
                     results.FailureCode.NO_ENDPOINT, "no endpoint is configured"
@@ -152,25 +152,25 @@
                 return self._shed(verdict)
             if isinstance(verdict, broker.Stopped):
                 return self._stopped(verdict.reason)
-            ending = await self._run_at(verdict.endpoint)
-            result = self._after(ending)
+            ending = await self._run_at_endpoint(verdict.endpoint)
+            result = self._evaluate_run(ending)
             if result is not None:
                 return result
-            await self._pause(ending)
+            await self._back_off(ending)
 
     # Queueing.
 
-    async def _wait_for_place(self) -> broker.Verdict:
+    async def _wait_for_slot(self) -> broker.Verdict:
         if self._stop is not None:
             return broker.Stopped(self._stop)
         ticket = self._tools.broker.place(
-            self._ask(), self._request.service.name
+            self._build_slot_request(), self._request.service.name
         )
         ticket.on_preempted = self._on_preempted
         self._ticket = ticket
         return await ticket.verdicts.get()
 
-    def _ask(self) -> asks.Ask:
+    def _build_slot_request(self) -> asks.Ask:
         request = self._request
         service_class = request.service_class
         left = request.expected_tokens - self.conversation.tokens
@@ -187,7 +187,7 @@
             expected_tokens=max(1.0, left),
             prefix=request.prefix,
             preemptible=self._may_be_preempted(),
-            avoid=self._avoid,
+            avoid=self._excluded_endpoints,
             preemptions=self._preemptions,
             zones=request.zones,
             firm=self._progress.attempts > 0,
@@ -207,12 +207,12 @@
 
     # Running.
 
-    async def _run_at(self, name: str) -> asks.Ending:
+    async def _run_at_endpoint(self, name: str) -> asks.Ending:
         self._endpoint = name
         self._resumes = 0
-        self._rest_s = 0.0
-        self._told = None
-        self._tokens_before = self.conversation.tokens
+        self._backoff_s = 0.0
+        self._response_head = None
+        self._tokens_before_run = self.conversation.tokens
         endpoint = self._tools.endpoint(name)
         if endpoint is None:
             self._finish_run(asks.Ending.REFUSED)
@@ -235,46 +235,54 @@
         if self._stop is not None:
             return asks.Ending.CANCELLED
         conversation = self.conversation
-        make = conversation.resuming if resume else conversation.opening
+        make = (
+            conversation.resume_request
+            if resume
+            else conversation.start_request
+        )
         request = make(endpoint.address)
         if not resume:
             self._progress.note(outcomes.Event.SENT)
             self._run_started = self._tools.clock.now()
             self._run_first_token = None
-        self._heard = self._tools.clock.now()
+        self._last_activity_at = self._tools.clock.now()
         self._stream = self._tools.http.open(request)
         try:
             await conversation.relay(
-                self._stream, _Watched(self, self._sink), self._on_first_token
+                self._stream,
+                _MonitoredSink(self, self._sink),
+                self._on_first_token,
             )
         except sinks.CallerGoneError:
             self.stop(broker.StopReason.CALLER_LEFT)
-            return self._note(asks.Ending.CANCELLED)
+            return self._record_ending(asks.Ending.CANCELLED)
         except errors.EndpointNotReachedError:
             # The endpoint of a resumed run was reached before.
             ending = asks.Ending.BROKEN if resume else asks.Ending.NOT_REACHED
-            return self._note(ending)
+            return self._record_ending(ending)
         except errors.EndpointRefusedError as refusal:
-            self._rest_s = refusal.rest_s
+            self._backoff_s = refusal.rest_s
             ending = asks.Ending.BROKEN if resume else asks.Ending.REFUSED
-            return self._note(ending)
+            return self._record_ending(ending)
         except errors.EndpointError:
-            return self._note(self._broken_ending())
+            return self._record_ending(self._broken_ending())
         finally:
-            self._told = self._stream.told or self._told
+            self._response_head = (
+                self._stream.received_head or self._response_head
+            )
             self._stream = None
-        return self._note(asks.Ending.COMPLETE)
+        return self._record_ending(asks.Ending.COMPLETE)
 
     def _broken_ending(self) -> asks.Ending:
         return _STOP_ENDINGS.get(self._stop, asks.Ending.BROKEN)
 
-    def _note(self, ending: asks.Ending) -> asks.Ending:
-        self._progress.note(_EVENTS[ending])
+    def _record_ending(self, ending: asks.Ending) -> asks.Ending:
+        self._progress.note(_PROGRESS_EVENTS[ending])
         return ending
 
     def _on_first_token(self) -> None:
         now = self._tools.clock.now()
-        self._heard = now
+        self._last_activity_at = now
         if self._run_first_token is not None:
             return
         self._run_first_token = now - self._run_started
@@ -300,9 +308,11 @@
                 self._run_first_token,
                 self.conversation.tokens,
                 interval,
-                self._rest_s,
-                self._told is not None,
-                None if self._told is None else self._told.limit_per_s,
+                self._backoff_s,
+                self._response_head is not None,
+                None
+                if self._response_head is None
+                else self._response_head.limit_per_s,
             ),
         )
         self._ticket = None
@@ -317,15 +327,15 @@
         endpoint = self._tools.endpoint(ticket.endpoint)
         if endpoint is None:
             return
-        cancelling = self.conversation.cancelling(endpoint.address)
-        if cancelling is not None:
+        cancel_request = self.conversation.cancel_request(endpoint.address)
+        if cancel_request is not None:
             # The response is not awaited: the engine also ends a run whose
             # stream is not resumed.
-            self._tools.http.open(cancelling)
+            self._tools.http.open(cancel_request)
 
     # After a run.
 
-    def _after(self, ending: asks.Ending) -> results.Result | None:
+    def _evaluate_run(self, ending: asks.Ending) -> results.Result | None:
         """Returns the result of the request, or None to retry it."""
         if ending is asks.Ending.COMPLETE:
             self._tools.budget.success()
@@ -339,37 +349,41 @@
         reason = self._stop or self._stop_after_run
         if reason is not None:
             return self._stopped(reason)
-        self._avoid = self._avoid | {self._endpoint}
-        if self._may_try_again(ending):
+        self._excluded_endpoints = self._excluded_endpoints | {self._endpoint}
+        if self._may_retry(ending):
             return None
         return self._failed(
             results.FailureCode.ENDPOINT_FAILED,
             "the endpoint did not answer in full",
         )
 
-    def _may_try_again(self, ending: asks.Ending) -> bool:
+    def _may_retry(self, ending: asks.Ending) -> bool:
         # A run that delivered more tokens does not count as an attempt: the
         # response length, the time limit and the retry budget bound these.
-        gained = self.conversation.tokens > self._tokens_before
-        self._fruitless = 0 if gained else self._fruitless + 1
-        if self._fruitless >= retries.MAX_ATTEMPTS:
+        made_progress = self.conversation.tokens > self._tokens_before_run
+        self._attempts_without_progress = (
+            0 if made_progress else self._attempts_without_progress + 1
+        )
+        if self._attempts_without_progress >= retries.MAX_ATTEMPTS:
             return False
         if not self._progress.may_send_again(self._request.repeatable):
             return False
-        begun = self._progress.outcome is outcomes.Outcome.RAN_PARTLY
-        if begun and not self.conversation.can_continue:
+        partially_delivered = (
+            self._progress.outcome is outcomes.Outcome.RAN_PARTLY
+        )
+        if partially_delivered and not self.conversation.can_continue:
             return False
         # An attempt that did not reach the endpoint put no load on it.
-        free = ending is asks.Ending.NOT_REACHED
-        return free or self._tools.budget.take()
+        not_reached = ending is asks.Ending.NOT_REACHED
+        return not_reached or self._tools.budget.take()
 
-    async def _pause(self, ending: asks.Ending) -> None:
+    async def _back_off(self, ending: asks.Ending) -> None:
         if ending is not asks.Ending.PREEMPTED:
             jitter = self._tools.rng.random()
-            attempt = max(1, self._fruitless)
+            attempt = max(1, self._attempts_without_progress)
             await asyncio.sleep(retries.pause_before(attempt, jitter))
 
-    def _give_up(self) -> None:
+    def _release(self) -> None:
         """Releases the stream and the ticket that are still held."""
         if self._stream is not None:
             self._cancel_run()
@@ -417,7 +431,7 @@
         )
 
 
-class _Watched:
+class _MonitoredSink:
     """A sink that marks its relay as blocked while the caller is slow."""
 
     def __init__(self, relay: Relay, sink: sinks.Sink) -> None:
@@ -428,11 +442,11 @@
         await self._sink.start(head)
 
     async def write(self, data: bytes) -> None:
-        self._relay._writing = True
+        self._relay._sink_blocked = True
         try:
             await self._sink.write(data)
         finally:
-            self._relay._writing = False
+            self._relay._sink_blocked = False
 
 
 # Run endings for runs that the relay cancelled.
@@ -444,7 +458,7 @@
 }
 
 # Progress events for the endings of runs, from which the outcome is derived.
-_EVENTS: dict[asks.Ending, outcomes.Event] = {
+_PROGRESS_EVENTS: dict[asks.Ending, outcomes.Event] = {
     asks.Ending.COMPLETE: outcomes.Event.COMPLETE,
     asks.Ending.NOT_REACHED: outcomes.Event.NOT_REACHED,
     asks.Ending.REFUSED: outcomes.Event.REFUSED,
--- a/martenjunction/relay/runs.py
+++ b/martenjunction/relay/runs.py
@@ -44,14 +44,14 @@
         return False
 
     @abc.abstractmethod
-    def opening(self, address: str) -> client.EndpointRequest:
+    def start_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that starts or continues the run."""
 
-    def resuming(self, address: str) -> client.EndpointRequest:
+    def resume_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that resumes the run at the same endpoint."""
         raise NotImplementedError
 
-    def cancelling(self, address: str) -> client.EndpointRequest | None:
+    def cancel_request(self, address: str) -> client.EndpointRequest | None:
         """Returns the request that cancels the run, or None."""
         return None
 
@@ -111,7 +111,7 @@
         """Events delivered to the caller."""
         return self._delivered
 
-    def opening(self, address: str) -> client.EndpointRequest:
+    def start_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that starts or continues the run."""
         self._delivered.drop_tail()
         return engine_protocol.start(
@@ -121,12 +121,12 @@
             once=not self._request.repeatable,
         )
 
-    def resuming(self, address: str) -> client.EndpointRequest:
+    def resume_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that resumes the run at the same endpoint."""
         self._delivered.drop_tail()
         return engine_protocol.resume(address, self._chat, self._delivered)
 
-    def cancelling(self, address: str) -> client.EndpointRequest | None:
+    def cancel_request(self, address: str) -> client.EndpointRequest | None:
         """Returns the request that cancels the run."""
         return engine_protocol.cancel(address, self._chat.request_id)
 
@@ -142,7 +142,7 @@
         if head.status >= 400 and self._started:
             raise errors.EndpointBrokenError(f"status {head.status}")
         if head.status >= 400:
-            await _pass_body(stream, sink, head)
+            await _forward_body(stream, sink, head)
             return
         if not self._started:
             self._started = True
@@ -160,7 +160,7 @@
 class PlainConversation(Conversation):
     """Exchange of a call with a plain service."""
 
-    def opening(self, address: str) -> client.EndpointRequest:
+    def start_request(self, address: str) -> client.EndpointRequest:
         """Returns the request to the plain service."""
         call = self._request.plain
         if call is None:
@@ -185,10 +185,10 @@
         head = await stream.head()
         plain_protocol.check_head(head, self._request.request_id)
         on_first_token()
-        await _pass_body(stream, sink, head)
+        await _forward_body(stream, sink, head)
 
 
-async def _pass_body(
+async def _forward_body(
     stream: streams.EndpointStream,
     sink: sinks.Sink,
     head: streams.ResponseHead,
