--- a/martenjunction/http1/framing.py
+++ b/martenjunction/http1/framing.py
@@ -21,4 +21,4 @@
         raise request_errors.RequestSyntaxError(400, "ambiguous framing")
     length = messages.header(request.headers, b"content-length")
     if length is not None and int(length) > max_body_bytes:
-        raise request_errors.RequestSyntaxError(413, "the body is too large")
+        raise request_errors.RequestSyntaxError(413, "request body too large")
