--- a/martenjunction/http1/server_connection.py
+++ b/martenjunction/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection from a client, which may carry many requests."""
+"""Server side of a persistent HTTP/1.1 connection."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,29 +17,31 @@
 from martenjunction.http1 import request_errors
 from martenjunction.http1 import streams
 
-# Seconds for which a body may make no progress.
+# Maximum seconds between two reads of a request body.
 BODY_TIMEOUT_S = 10.0
 
-# Seconds after which a time limit that ended beside bytes is looked at again:
-# by then the reader has taken them.
-SECOND_LOOK_S = 0.1
+# Seconds by which a timeout is extended that expires while bytes are unread:
+# enough for the reader to consume them.
+TIMEOUT_EXTENSION_S = 0.1
 
-# Seconds for which a request that is coming in may still do so once its
-# connection is to end: half a body held up a planned stop of 4 s to its limit.
-STOP_READ_S = 1.0
+# Seconds within which a partly received request must be complete once its
+# connection is shutting down: without this limit, an incomplete body delayed a
+# graceful shutdown of 4 s until its deadline.
+SHUTDOWN_READ_TIMEOUT_S = 1.0
 
 _State = connection_state.State
 _Event = connection_state.Event
 
-_KNOWN = {status.value for status in http.HTTPStatus}
+_KNOWN_STATUS = {status.value for status in http.HTTPStatus}
 
 
 class ServerConnection:
-    """A connection from a client, which may carry many requests.
+    """A client connection that may carry several requests.
 
-    One state says what is under way. Whoever closes the connection and whoever
-    takes a request from it asks that state, so that a request is taken from an
-    open connection only, and one that was taken is not closed by a time limit.
+    A single state is checked both before the connection is closed and before a
+    request is accepted from it. A request is therefore accepted only from an
+    open connection, and no timeout closes the connection while the request is
+    served.
     """
 
     def __init__(
@@ -47,11 +49,11 @@
         stream: iostream.IOStream,
         limits: Callable[[], messages.ClientLimits],
     ) -> None:
-        """Takes over an accepted stream.
+        """Initializes the connection over an accepted stream.
 
         Args:
-            stream: The stream.
-            limits: Returns what the client may do at the moment.
+            stream: The accepted stream.
+            limits: Returns the current limits for clients.
         """
         self._stream = stream
         self._limits = limits
@@ -59,53 +61,55 @@
         self._parser = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits().max_header_bytes
         )
-        self._answering = False
-        self._last = False
+        self._response_started = False
+        self._close_announced = False
         self._timer: asyncio.TimerHandle | None = None
-        self._limit = closings.CloseReason.IDLE
+        self._timeout_reason = closings.CloseReason.IDLE
         self._bodiless = False
         self._state = _State.RESTING
-        self._ending = False
+        self._shutting_down = False
         self._unanswered = False
-        self._answered = 0
-        self._rested_since = time.monotonic()
+        self._response_count = 0
+        self._idle_since = time.monotonic()
         self._peer = streams.peer_address(stream)
-        self._closing: closings.ClosedConnection | None = None
+        self._report: closings.ClosedConnection | None = None
 
     @property
     def answering(self) -> bool:
-        """Whether the head of an answer was sent for this request."""
-        return self._answering
+        """Whether a response head was sent for the current request."""
+        return self._response_started
 
     @property
     def unanswered(self) -> bool:
-        """Whether a request was taken that has no whole answer yet."""
+        """Whether an accepted request has no complete response yet."""
         return self._unanswered
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed."""
         return self._state is _State.CLOSED or self._stream.closed()
 
     def closing(self, server: str) -> closings.ClosedConnection:
-        """Returns how the connection ended, or how it stands if it is open.
+        """Returns a report on the closed, or still open, connection.
 
         Args:
-            server: Name of the server that it came to.
+            server: Name of the server that accepted it.
         """
-        closing = self._closing or self._describe(closings.CloseReason.CLIENT)
+        closing = self._report or self._build_report(
+            closings.CloseReason.CLIENT
+        )
         return dataclasses.replace(closing, server=server)
 
     async def read_request(self) -> messages.Request | None:
-        """Waits for a request and reads it in full.
+        """Waits for a request and reads it completely.
 
         Returns:
             The request, or None if the client closed the connection.
 
         Raises:
             RequestSyntaxError: If it is malformed, too large or too slow.
-            RequestNotTakenError: If the connection ended while it was read.
-            ConnectionLostError: If the client went away within it.
+            RequestNotTakenError: If the connection was closed meanwhile.
+            ConnectionLostError: If the client disconnected within it.
         """
         head = await self._read_head()
         if head is None:
@@ -125,11 +129,11 @@
                 )
             )
         request.body = await self._read_body()
-        self._take(request)
+        self._accept_request(request)
         return request
 
     def watch_end(self, callback: Callable[[], None] | None) -> None:
-        """Has a callback called when the client leaves before its answer."""
+        """Sets the callback for a client that disconnects, or None."""
         self._source.on_end(callback)
 
     async def answer(
@@ -139,55 +143,55 @@
         body: bytes,
         close: bool = False,
     ) -> None:
-        """Sends a whole answer.
+        """Sends a complete response.
 
         Args:
-            status: The HTTP status.
-            headers: Headers less those of framing.
+            status: HTTP status.
+            headers: Headers without those of framing.
             body: The body.
-            close: Whether the connection ends after it.
+            close: Whether to close the connection after the response.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         length = (b"Content-Length", str(len(body)).encode())
         self._send_head(status, [*headers, length], close)
         data = b"" if self._bodiless or not body else self._data(body)
         end = self._parser.send(h11.EndOfMessage()) or b""
         await self._flush(data + end)
-        self._note_answered()
+        self._record_response()
 
     async def begin(
         self, status: int, headers: messages.Headers, close: bool = False
     ) -> None:
-        """Sends the head of an answer whose length is not known.
+        """Sends the head of a response of unknown length.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         self._send_head(status, headers, close)
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the body; waits while the client does not read.
+        """Sends a part of the body; waits until the socket accepted it.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         await self._flush(self._data(data))
 
     async def end(self) -> None:
-        """Marks the answer as complete.
+        """Completes the response.
 
         Raises:
-            ConnectionLostError: If the client is gone.
+            ConnectionLostError: If the client disconnected.
         """
         await self._flush(self._parser.send(h11.EndOfMessage()) or b"")
-        self._note_answered()
+        self._record_response()
 
-    def next_request(self) -> bool:
-        """Makes ready for the next request; returns whether there may be."""
-        self._answering = False
-        if self._last or self.closed:
+    def prepare_next_request(self) -> bool:
+        """Prepares for the next request; returns whether one may follow."""
+        self._response_started = False
+        if self._close_announced or self.closed:
             return False
         if (
             self._parser.our_state is not h11.DONE
@@ -195,34 +199,34 @@
         ):
             return False
         self._parser.start_next_cycle()
-        self._note(_Event.REQUEST_ENDED)
-        self._rested_since = time.monotonic()
+        self._transition(_Event.REQUEST_ENDED)
+        self._idle_since = time.monotonic()
         if self._parser.trailing_data[0]:
-            self._note(_Event.BYTES_CAME)
-        return not (self._ending and self._close_if_resting())
+            self._transition(_Event.BYTES_CAME)
+        return not (self._shutting_down and self._close_if_idle())
 
-    def end_when_idle(self) -> None:
-        """Ends the connection, once nothing is under way on it.
+    def close_when_idle(self) -> None:
+        """Closes the connection as soon as it is idle.
 
-        A request that is being read, or whose bytes are here, is still served;
-        its answer says that it is the last.
+        A request that is partly read or has unread bytes is still served; its
+        response announces the close.
         """
-        if not self._ending:
-            self._ending = True
+        if not self._shutting_down:
+            self._shutting_down = True
             if self._state is _State.READING:
-                self._set_timer(STOP_READ_S, self._limit)
-        self._close_if_resting()
+                self._set_timer(SHUTDOWN_READ_TIMEOUT_S, self._timeout_reason)
+        self._close_if_idle()
 
     def abort(self, reason: closings.CloseReason) -> None:
-        """Closes the connection; what is in the socket still goes out.
+        """Closes the connection; data in the socket's buffer is still sent.
 
         Args:
-            reason: Why; the first reason holds.
+            reason: Reason for the report; the first call determines it.
         """
         self._set_timer(None)
-        if self._closing is None and not self._stream.closed():
-            self._closing = self._describe(reason)
-        self._note(_Event.CLOSED)
+        if self._report is None and not self._stream.closed():
+            self._report = self._build_report(reason)
+        self._transition(_Event.CLOSED)
         self._source.abort()
 
     async def _read_head(self) -> h11.Request | None:
@@ -241,11 +245,11 @@
             if event is not h11.NEED_DATA:
                 return None
             try:
-                data = await self._source.take()
+                data = await self._source.read()
             except errors.ConnectionLostError:
                 return None
             if data and self._state is _State.RESTING:
-                self._note(_Event.BYTES_CAME)
+                self._transition(_Event.BYTES_CAME)
                 self._set_timer(
                     limits.header_timeout_s, closings.CloseReason.SLOW_HEAD
                 )
@@ -269,29 +273,31 @@
                 size += len(event.data)
                 if size > self._limits().max_body_bytes:
                     raise request_errors.RequestSyntaxError(
-                        413, "the body is too large"
+                        413, "request body too large"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 self._set_timer(None)
                 return b"".join(parts)
             elif event is h11.NEED_DATA:
                 self._set_timer(BODY_TIMEOUT_S, closings.CloseReason.SLOW_BODY)
-                self._parser.receive_data(await self._source.take())
+                self._parser.receive_data(await self._source.read())
             else:
-                raise errors.ConnectionLostError("closed within a body")
+                raise errors.ConnectionLostError("closed within a request body")
 
     def _send_head(
         self, status: int, headers: messages.Headers, close: bool
     ) -> None:
-        if close or self._ending:
+        if close or self._shutting_down:
             headers = [*headers, (b"Connection", b"close")]
-            self._last = True
-        reason = http.HTTPStatus(status).phrase if status in _KNOWN else ""
+            self._close_announced = True
+        reason = (
+            http.HTTPStatus(status).phrase if status in _KNOWN_STATUS else ""
+        )
         head = h11.Response(
             status_code=status, headers=headers, reason=reason.encode()
         )
         data = self._parser.send(head)
-        self._answering = True
+        self._response_started = True
         self._write(data)
 
     def _data(self, data: bytes) -> bytes:
@@ -303,8 +309,8 @@
         try:
             written = self._stream.write(data)
         except iostream.StreamClosedError as error:
-            raise errors.ConnectionLostError("the client is gone") from error
-        written.add_done_callback(streams.swallow)
+            raise errors.ConnectionLostError("client disconnected") from error
+        written.add_done_callback(streams.retrieve_exception)
         return written
 
     async def _flush(self, data: bytes) -> None:
@@ -314,7 +320,7 @@
         try:
             await asyncio.shield(written)
         except iostream.StreamClosedError as error:
-            raise errors.ConnectionLostError("the client is gone") from error
+            raise errors.ConnectionLostError("client disconnected") from error
 
     def _set_timer(
         self,
@@ -325,67 +331,68 @@
             self._timer.cancel()
             self._timer = None
         if seconds is not None:
-            self._limit = reason
-            if self._ending:
-                seconds = min(seconds, STOP_READ_S)
+            self._timeout_reason = reason
+            if self._shutting_down:
+                seconds = min(seconds, SHUTDOWN_READ_TIMEOUT_S)
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(seconds, self._on_time_limit, reason)
+            self._timer = loop.call_later(seconds, self._on_timeout, reason)
 
-    def _on_time_limit(self, reason: closings.CloseReason) -> None:
-        """Closes the connection, unless what it waited for is here."""
+    def _on_timeout(self, reason: closings.CloseReason) -> None:
+        """Closes the connection unless the awaited bytes have arrived."""
         if self._source.bytes_waiting:
-            # After a hold-up of the event loop the time ends in the pass that
-            # takes the bytes in: the request would be passed on and its
-            # connection closed without an answer.
-            self._set_timer(SECOND_LOOK_S, reason)
+            # After the event loop was blocked, the timeout expires in the same
+            # iteration that reads the bytes: the request would be passed on
+            # and its connection closed without a response.
+            self._set_timer(TIMEOUT_EXTENSION_S, reason)
             return
-        left = self._idle_time_left()
+        left = self._remaining_idle_s()
         if reason is closings.CloseReason.IDLE and left > 0.0:
             self._set_timer(left, reason)
             return
         self.abort(reason)
 
-    def _idle_time_left(self) -> float:
-        """Returns seconds for which it may rest, by the limits of now."""
-        rested = time.monotonic() - self._rested_since
+    def _remaining_idle_s(self) -> float:
+        """Returns the remaining idle time in seconds, by current limits."""
+        rested = time.monotonic() - self._idle_since
         return self._limits().idle_timeout_s - rested
 
-    def _take(self, request: messages.Request) -> None:
-        """Takes a request from the connection while that is open.
+    def _accept_request(self, request: messages.Request) -> None:
+        """Accepts a request if the connection is still open.
 
         Raises:
-            RequestNotTakenError: If it has ended.
+            RequestNotTakenError: If the connection is closed.
         """
-        # A reader that was woken before the end goes on from its buffer: 12 of
-        # 12 requests were handed on so, each with nobody to answer.
+        # A reader that was woken before the close continues from its buffer:
+        # without this check, 12 of 12 requests were passed on although no
+        # response could be sent.
         if self.closed:
             raise request_errors.RequestNotTakenError(request)
-        self._note(_Event.REQUEST_TAKEN)
+        self._transition(_Event.REQUEST_TAKEN)
         self._unanswered = True
 
-    def _close_if_resting(self) -> bool:
-        """Closes it if nothing is under way; returns whether it is closed."""
+    def _close_if_idle(self) -> bool:
+        """Closes an idle connection; returns whether it is closed."""
         if self._state is _State.RESTING and not self._source.bytes_waiting:
             self.abort(closings.CloseReason.STOPPED)
         return self.closed
 
-    def _note(self, event: connection_state.Event) -> None:
-        self._state = connection_state.after(self._state, event)
+    def _transition(self, event: connection_state.Event) -> None:
+        self._state = connection_state.next_state(self._state, event)
 
-    def _note_answered(self) -> None:
-        self._answered += 1
+    def _record_response(self) -> None:
+        self._response_count += 1
         self._unanswered = False
-        self._rested_since = time.monotonic()
+        self._idle_since = time.monotonic()
 
-    def _describe(
+    def _build_report(
         self, reason: closings.CloseReason
     ) -> closings.ClosedConnection:
         return closings.ClosedConnection(
             "",
             reason,
             self._peer,
-            time.monotonic() - self._rested_since,
-            self._answered,
+            time.monotonic() - self._idle_since,
+            self._response_count,
             self._unanswered,
             self._source.bytes_waiting,
         )
--- a/martenjunction/relay/runs.py
+++ b/martenjunction/relay/runs.py
@@ -1,4 +1,4 @@
-"""One run of a request at one endpoint, by kind of service."""
+"""Exchanges with endpoints, by kind of service."""
 
 import abc
 from typing import Protocol
@@ -15,14 +15,14 @@
 
 
 class OnFirstToken(Protocol):
-    """Called when the first part of an answer comes."""
+    """Callback for the first part of a response."""
 
     def __call__(self) -> None:
-        """Takes note of it."""
+        """Handles the first part of a response."""
 
 
 class Conversation(abc.ABC):
-    """What is said to endpoints for one request, over all its runs."""
+    """Exchange with endpoints for one request, over all its runs."""
 
     def __init__(self, request: requests.RoutedRequest) -> None:
         """Begins with nothing delivered."""
@@ -30,29 +30,29 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the caller has."""
+        """Number of tokens delivered to the caller."""
         return 0
 
     @property
     def can_resume(self) -> bool:
-        """Whether a broken run can go on at the same endpoint."""
+        """Whether a broken run can be resumed at the same endpoint."""
         return False
 
     @property
     def can_continue(self) -> bool:
-        """Whether a begun answer can go on at another endpoint."""
+        """Whether a partial response can be continued at another endpoint."""
         return False
 
     @abc.abstractmethod
-    def opening(self, address: str) -> client.EndpointRequest:
+    def start_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that starts or continues the run."""
 
-    def resuming(self, address: str) -> client.EndpointRequest:
+    def resume_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that resumes the run at the same endpoint."""
         raise NotImplementedError
 
-    def cancelling(self, address: str) -> client.EndpointRequest | None:
-        """Returns the request that cancels the run, if there is one."""
+    def cancel_request(self, address: str) -> client.EndpointRequest | None:
+        """Returns the request that cancels the run, or None."""
         return None
 
     @abc.abstractmethod
@@ -62,11 +62,12 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes the answer on until its end.
+        """Passes the complete response to the sink.
 
         Raises:
-            EndpointError: If it is refused, breaks off or is another's.
-            CallerGoneError: If the caller left.
+            EndpointError: If the endpoint refuses the request, or the response
+                is truncated or belongs to another request.
+            CallerGoneError: If the caller disconnected.
         """
 
 
@@ -77,7 +78,7 @@
 
 @conversations.register(fleet.ServiceKind.ENGINE)
 class EngineConversation(Conversation):
-    """A chat request with model engines."""
+    """Exchange of a chat request with model engines."""
 
     def __init__(self, request: requests.RoutedRequest) -> None:
         """Begins with nothing delivered."""
@@ -92,25 +93,25 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens that the caller has."""
+        """Number of tokens delivered to the caller."""
         return self._delivered.tokens
 
     @property
     def can_resume(self) -> bool:
-        """An engine keeps a run for a while after its stream broke."""
+        """Always true: engines retain a run after its stream breaks."""
         return True
 
     @property
     def can_continue(self) -> bool:
-        """An engine goes on from the tokens that the caller has."""
+        """Always true: engines continue from the tokens delivered so far."""
         return True
 
     @property
     def delivered(self) -> engine_protocol.Delivered:
-        """What the caller has."""
+        """Events delivered to the caller."""
         return self._delivered
 
-    def opening(self, address: str) -> client.EndpointRequest:
+    def start_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that starts or continues the run."""
         self._delivered.drop_tail()
         return engine_protocol.start(
@@ -120,12 +121,12 @@
             once=not self._request.repeatable,
         )
 
-    def resuming(self, address: str) -> client.EndpointRequest:
+    def resume_request(self, address: str) -> client.EndpointRequest:
         """Returns the request that resumes the run at the same endpoint."""
         self._delivered.drop_tail()
         return engine_protocol.resume(address, self._chat, self._delivered)
 
-    def cancelling(self, address: str) -> client.EndpointRequest | None:
+    def cancel_request(self, address: str) -> client.EndpointRequest | None:
         """Returns the request that cancels the run."""
         return engine_protocol.cancel(address, self._chat.request_id)
 
@@ -135,13 +136,13 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes whole events on until the end of the answer."""
+        """Passes complete events to the sink until the response ends."""
         head = await stream.head()
         engine_protocol.check_head(head, self._chat.request_id)
         if head.status >= 400 and self._started:
             raise errors.EndpointBrokenError(f"status {head.status}")
         if head.status >= 400:
-            await _pass_body(stream, sink, head)
+            await _forward_body(stream, sink, head)
             return
         if not self._started:
             self._started = True
@@ -152,15 +153,15 @@
                 on_first_token()
                 await sink.write(events)
         if not self._delivered.done:
-            raise errors.EndpointBrokenError("the stream ended early")
+            raise errors.EndpointBrokenError("the stream was truncated")
 
 
 @conversations.register(fleet.ServiceKind.PLAIN)
 class PlainConversation(Conversation):
-    """A call to a plain service."""
+    """Exchange of a call with a plain service."""
 
-    def opening(self, address: str) -> client.EndpointRequest:
-        """Returns the call."""
+    def start_request(self, address: str) -> client.EndpointRequest:
+        """Returns the request to the plain service."""
         call = self._request.plain
         if call is None:
             raise errors.MartenjunctionError("not a call to a plain service")
@@ -180,14 +181,14 @@
         sink: sinks.Sink,
         on_first_token: OnFirstToken,
     ) -> None:
-        """Passes the answer on as it is."""
+        """Passes the response to the sink unchanged."""
         head = await stream.head()
         plain_protocol.check_head(head, self._request.request_id)
         on_first_token()
-        await _pass_body(stream, sink, head)
+        await _forward_body(stream, sink, head)
 
 
-async def _pass_body(
+async def _forward_body(
     stream: streams.EndpointStream,
     sink: sinks.Sink,
     head: streams.ResponseHead,
--- a/tests/kept_connections.py
+++ b/tests/kept_connections.py
@@ -1,19 +1,19 @@
-"""Connections that carry several requests, driven by hand."""
+"""A minimal client over keep-alive connections for tests."""
 
 import asyncio
 import socket
 
-# Seconds that a test waits for what must come.
-PATIENCE_S = 20.0
+# Timeout in seconds for expected responses and closes.
+TIMEOUT_S = 20.0
 
 
 class KeptConnection:
-    """A client's connection; its bytes leave without the event loop."""
+    """A client connection that sends without the event loop."""
 
     def __init__(self) -> None:
         self._socket = socket.socket()
         self._socket.setblocking(False)
-        self._waiting = b""
+        self._buffer = b""
 
     async def connect(self, address: str) -> None:
         host, _, port = address.partition(":")
@@ -22,23 +22,23 @@
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> None:
-        """Hands bytes to the system at once; the event loop need not run."""
+        """Sends bytes synchronously, without the event loop."""
         self._socket.send(data)
 
     async def answer(self) -> bytes:
-        """Returns the next answer with a length, or what came before an end."""
-        async with asyncio.timeout(PATIENCE_S):
-            while (whole := self._whole()) is None:
+        """Returns the next response, or the bytes received before the close."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while (whole := self._response_length()) is None:
                 data = await self._receive()
                 if not data:
-                    return self._waiting
-                self._waiting += data
-        answer, self._waiting = self._waiting[:whole], self._waiting[whole:]
+                    return self._buffer
+                self._buffer += data
+        answer, self._buffer = self._buffer[:whole], self._buffer[whole:]
         return answer
 
     async def ended(self) -> bool:
-        """Waits for the end of the connection; returns whether it was quiet."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Waits for the close; returns whether no data came before it."""
+        async with asyncio.timeout(TIMEOUT_S):
             return await self._receive() == b""
 
     def close(self) -> None:
@@ -51,8 +51,8 @@
         except ConnectionError:
             return b""
 
-    def _whole(self) -> int | None:
-        head, parted, body = self._waiting.partition(b"\r\n\r\n")
+    def _response_length(self) -> int | None:
+        head, parted, body = self._buffer.partition(b"\r\n\r\n")
         if not parted:
             return None
         length = 0
@@ -65,19 +65,19 @@
 async def kept(
     address: str, count: int, request: bytes
 ) -> list[KeptConnection]:
-    """Returns connections that have carried a request each."""
-    made = [KeptConnection() for _ in range(count)]
-    for connection in made:
+    """Returns connections that have each carried one request."""
+    connections = [KeptConnection() for _ in range(count)]
+    for connection in connections:
         await connection.connect(address)
         connection.send(request)
-    for connection in made:
+    for connection in connections:
         assert b" 200 " in await connection.answer()
-    return made
+    return connections
 
 
-async def served(made: list[KeptConnection]) -> int:
-    """Returns how many connections get a whole 200 next, and closes all."""
-    answers = [await connection.answer() for connection in made]
-    for connection in made:
+async def count_ok_responses(connections: list[KeptConnection]) -> int:
+    """Reads one response per connection and closes all; counts the 200s."""
+    responses = [await connection.answer() for connection in connections]
+    for connection in connections:
         connection.close()
-    return sum(b" 200 " in answer for answer in answers)
+    return sum(b" 200 " in response for response in responses)
