--- a/martenjunction/application.py
+++ b/martenjunction/application.py
@@ -1,4 +1,4 @@
-"""The application: wires the parts of one daemon together."""
+"""The application: wires the components of one daemon."""
 
 import asyncio
 from collections.abc import Callable
@@ -42,7 +42,8 @@
 SUMMARY_INTERVAL = 0.5
 OWNERSHIP_INTERVAL = 0.1
 
-# Transfers besides those of held requests: load reports and the platform.
+# Transfers in addition to those of held requests: load reports and calls to
+# the platform.
 SPARE_TRANSFERS = 256
 
 MakeDispatcher = host.MakeDispatcher
@@ -56,12 +57,12 @@
         settings: daemon_settings.DaemonSettings,
         make_dispatcher: MakeDispatcher | None = None,
     ) -> None:
-        """Wires the parts; `start` brings them up.
+        """Initializes the daemon; `start` brings it up.
 
         Args:
             settings: The daemon's settings.
-            make_dispatcher: Makes the dispatchers of cells; the usual one
-                if left out.
+            make_dispatcher: Factory for the dispatchers of cells; defaults to
+                `host.new_dispatcher`.
         """
         self._settings = settings
         self.events = events.Events()
@@ -150,19 +151,19 @@
 
     @property
     def draining(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self._draining
 
-    # Extension.
+    # Extension points.
 
     def add_dump(
         self, name: str, describe: Callable[[], dict[str, Any]]
     ) -> None:
-        """Adds a part to the dump.
+        """Adds a section to the dump.
 
         Args:
-            name: The part's name in the dump.
-            describe: Returns the part's state.
+            name: The section's name in the dump.
+            describe: Returns the section's content.
         """
         self._dumps[name] = describe
 
@@ -189,11 +190,15 @@
         await self._update_cells()
 
     async def drain(self) -> None:
-        """Stops as planned: leaves, hands over, finishes, then ends."""
+        """Shuts down gracefully.
+
+        The daemon leaves the membership, hands over its cells and drains
+        in-flight requests before it stops.
+        """
         if self._draining:
             return
         self._draining = True
-        logger.info("a planned stop begins")
+        logger.info("graceful shutdown started")
         self.events.emit(events.LEAVING)
         self.sync.announce_leaving(self.members.own)
         self.members.leaving(self._settings.box, self.members.own.incarnation)
@@ -204,11 +209,11 @@
         self._drained.set()
 
     async def wait_drained(self) -> None:
-        """Waits until a planned stop has ended."""
+        """Waits until a graceful shutdown has completed."""
         await self._drained.wait()
 
     async def stop(self) -> None:
-        """Stops at once; requests in flight are cut off."""
+        """Stops at once; in-flight requests are aborted."""
         await self._listeners.cut_off()
         await self.claims.stop()
         if self._feed is not None:
@@ -224,14 +229,14 @@
         """Returns the sockets that callers and operators connect to."""
         return self._listeners.sockets
 
-    # What operators ask for.
+    # Operator interface.
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state of every part, secrets left out."""
+        """Returns the state of every component, without secrets."""
         return {name: describe() for name, describe in self._dumps.items()}
 
     def metrics_text(self) -> bytes:
-        """Returns the metrics in the Prometheus text form."""
+        """Returns the metrics in the Prometheus text format."""
         traffic = self.peers.traffic()
         calls = self._platform.calls if self._platform else {}
         return metrics_text.render(
@@ -250,7 +255,7 @@
         """Returns which configuration is in force.
 
         Args:
-            keys: Objects whose versions are wanted.
+            keys: Keys of the objects whose versions are returned.
         """
         return {
             "box": self._settings.box,
@@ -259,7 +264,7 @@
         }
 
     def explain(self, question: dict[str, Any]) -> dict[str, Any]:
-        """Returns what a described request would get, and why."""
+        """Returns how a described request would be routed, and why."""
         return explain.explain(question, self.store.config, self.callers)
 
     # Wiring.
@@ -313,7 +318,7 @@
         self.add_dump("platform", self._describe_platform)
         self.add_dump("metrics", self.metrics.as_dict)
 
-    # Configuration and lists.
+    # Configuration and box lists.
 
     def _load_file(self, path: str) -> None:
         documents, _ = fleet.read([path])
--- a/martenjunction/errors.py
+++ b/martenjunction/errors.py
@@ -1,4 +1,4 @@
-"""The one hierarchy of errors."""
+"""The exception hierarchy of the project."""
 
 
 class MartenjunctionError(Exception):
@@ -9,7 +9,7 @@
     """A settings file is missing, malformed or holds a wrong value.
 
     Attributes:
-        file: The file as it was named by the operator.
+        file: The file, as the operator named it.
         section: The section, or an empty string for the whole file.
         key: The key, or an empty string for the whole section.
     """
@@ -29,19 +29,19 @@
 
 
 class PolicyError(MartenjunctionError):
-    """A policy cannot be parsed, or failed while it ran."""
+    """A policy cannot be parsed or failed at run time."""
 
 
 class PlatformError(MartenjunctionError):
-    """The platform's object API could not answer."""
+    """A call to the platform's object API failed."""
 
 
 class PlatformUnavailableError(PlatformError):
-    """No answer: the call may or may not have taken effect."""
+    """The platform did not respond; the call may have taken effect."""
 
 
 class PlatformRefusedError(PlatformError):
-    """The platform answered that it did not carry the call out."""
+    """The platform responded that it did not execute the call."""
 
 
 class VersionConflictError(PlatformError):
@@ -49,7 +49,7 @@
 
     Attributes:
         key: The object's key.
-        current: The version that the platform holds now; 0 for none.
+        current: The current version on the platform; 0 for none.
     """
 
     def __init__(self, key: str, current: int) -> None:
@@ -59,26 +59,26 @@
 
 
 class PeerError(MartenjunctionError):
-    """A peer broke the protocol between daemons."""
+    """A peer violated the protocol between daemons."""
 
 
 class EndpointError(MartenjunctionError):
-    """An endpoint did not give a whole answer."""
+    """An endpoint did not return a complete response."""
 
 
 class EndpointNotReachedError(EndpointError):
-    """No byte of the request went to the endpoint."""
+    """No byte of the request was sent to the endpoint."""
 
 
 class EndpointBusyError(EndpointError):
-    """This box has as many connections to the endpoint as it may."""
+    """This box has reached its connection limit for the endpoint."""
 
 
 class EndpointRefusedError(EndpointError):
-    """The endpoint said that it refused the request before running it.
+    """The endpoint reported that it refused the request before running it.
 
     Attributes:
-        rest_s: Seconds for which it wants nothing; 0 if it did not say.
+        rest_s: Requested back-off in seconds; 0 if not given.
     """
 
     def __init__(self, message: str, rest_s: float = 0.0) -> None:
@@ -87,11 +87,11 @@
 
 
 class EndpointBrokenError(EndpointError):
-    """The answer broke off, or never came: the request may have run."""
+    """The response is incomplete or missing; the request may have run."""
 
 
 class EndpointMismatchError(EndpointError):
-    """The answer belongs to another request."""
+    """The response belongs to another request."""
 
 
 class CallerError(MartenjunctionError):
@@ -99,8 +99,8 @@
 
     Attributes:
         status: The HTTP status.
-        code: A stable word for programs.
-        retry_after: Seconds after which the caller may try again, or None.
+        code: A stable, machine-readable error code.
+        retry_after: Seconds after which the caller may retry, or None.
     """
 
     def __init__(
@@ -121,36 +121,36 @@
 
 
 class ConnectError(TransportError):
-    """There is no connection: no byte of the request was sent."""
+    """No connection could be made; no byte of the request was sent."""
 
 
 class PortRefusedError(ConnectError):
-    """Nobody listens at the address: the server has ended."""
+    """Nothing listens at the address, so the server has exited."""
 
 
 class NoSocketError(ConnectError):
-    """This box has no socket left: it says nothing of the server."""
+    """This box has no free socket; the server's state is unknown."""
 
 
 class ConnectionLostError(TransportError):
-    """The connection ended before the message was whole."""
+    """The connection closed before the message was complete."""
 
 
 class ConnectionCutError(TransportError):
-    """This daemon itself closed a connection.
+    """This daemon closed the connection.
 
     Attributes:
-        why: The word for it in the log.
+        why: The reason, as written to the log.
     """
 
     def __init__(self, why: str) -> None:
         self.why = why
-        super().__init__(f"closed here: {why}")
+        super().__init__(f"closed locally: {why}")
 
 
 class HttpSyntaxError(TransportError):
-    """The peer's bytes are not a message of HTTP/1.1."""
+    """The received bytes are not a valid HTTP/1.1 message."""
 
 
 class HistoryLostError(PlatformError):
-    """The platform no longer has the changes since the revision asked for."""
+    """The platform no longer has the changes since the requested revision."""
--- a/martenjunction/events.py
+++ b/martenjunction/events.py
@@ -1,4 +1,4 @@
-"""Named events to which parts and extensions connect."""
+"""Named events to which components and extensions connect."""
 
 from collections.abc import Callable
 import logging
@@ -30,7 +30,7 @@
 
 
 class Events:
-    """Keeps the listeners of each event and calls them in order."""
+    """Dispatches events to their listeners in the order of connection."""
 
     def __init__(self) -> None:
         self._listeners: dict[str, list[Listener]] = {
@@ -41,24 +41,24 @@
         """Declares an event of an extension.
 
         Raises:
-            MartenjunctionError: If there is one of that name.
+            MartenjunctionError: If the event already exists.
         """
         if name in self._listeners:
-            raise errors.MartenjunctionError(f"event {name!r} exists")
+            raise errors.MartenjunctionError(f"event {name!r} already exists")
         self._listeners[name] = []
 
     def connect(self, name: str, listener: Listener) -> None:
-        """Has `listener` called whenever the event is emitted.
+        """Calls `listener` whenever the event is emitted.
 
         Raises:
-            MartenjunctionError: If the event was never declared.
+            MartenjunctionError: If the event is not declared.
         """
         if name not in self._listeners:
             raise errors.MartenjunctionError(f"unknown event {name!r}")
         self._listeners[name].append(listener)
 
     def emit(self, name: str, *args: Any) -> None:
-        """Calls the listeners; a failing one does not keep others from it."""
+        """Calls all listeners, also after one of them fails."""
         for listener in list(self._listeners[name]):
             try:
                 listener(*args)
--- a/martenjunction/gateway.py
+++ b/martenjunction/gateway.py
@@ -1,4 +1,4 @@
-"""The application of a box on the platform: wires its parts together."""
+"""The application of a box on the platform: wires its components."""
 
 import asyncio
 from collections.abc import Callable
@@ -46,41 +46,48 @@
 from martenjunction.routing import request_content
 from martenjunction.routing import suspects
 
-# Seconds between two looks at silent endpoints, lapsed entries and moves.
+# Seconds between checks for silent endpoints, expired entries and requests
+# that should move to another endpoint.
 WATCH_INTERVAL_S = 0.1
 
-# Seconds between two looks at idle connections.
+# Seconds between checks for idle connections.
 IDLE_INTERVAL_S = 0.5
 
-# Seconds kept back of the time for which a removed key may be honoured.
+# Safety margin, in seconds, subtracted from the time for which a removed key
+# may still be accepted.
 KEY_MARGIN_S = 0.25
 
-# Life of an address answer, in seconds: some clients keep one three times as
-# long, and all of them should be elsewhere well before a stop ends.
+# Time to live of a resolve response, in seconds. Some clients cache one for
+# three times as long, and all of them should have switched to another box well
+# before a graceful shutdown ends.
 ENTRY_TTL_S = 1.0
 
-# Most addresses in an answer.
+# Maximum number of addresses in a resolve response.
 MAX_ENTRIES = 64
 
-# Seconds before the kill at which a stopping box ends what still runs.
+# Seconds before the platform kills a stopping box at which the box ends the
+# requests that are still in flight.
 STOP_MARGIN_S = 0.4
 
-# Seconds, of those, for the final answers of what was ended.
+# Part of STOP_MARGIN_S, in seconds, for sending the final responses of the
+# requests that were ended.
 STOP_ANSWERS_S = 0.2
 
-# Seconds for which a stopping box serves clients that kept an old answer,
-# even when it has nothing to do: three lives of an answer, and some.
+# Minimum time, in seconds, for which a stopping box keeps serving, even when
+# idle, because clients may use a cached resolve response: three times
+# ENTRY_TTL_S plus a margin.
 LINGER_S = 3.5
 
-# Ready boxes in a client's own availability zone from which on it is sent to
-# no other: one of them may fail before it asks again.
+# Minimum number of ready boxes in a client's own availability zone for a
+# resolve response to omit other zones. One box is not enough because it may
+# fail before the client resolves again.
 ENOUGH_NEAR = 2
 
 METRICS_PATH = b"/metrics"
 DUMP_PATH = b"/dump"
 LIFT_PATH = b"/lift"
 
-# Names the quarantined request in a call to lift.
+# Query field that identifies the quarantined request to lift.
 CONTENT_FIELD = "content"
 
 
@@ -88,7 +95,7 @@
     """One box's daemon on the platform, as a library object."""
 
     def __init__(self, settings: box_settings.BoxSettings) -> None:
-        """Wires the parts; `start` brings them up.
+        """Initializes the gateway; `start` brings it up.
 
         Args:
             settings: The box's settings.
@@ -236,7 +243,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether a planned stop has begun."""
+        """Whether a graceful shutdown has begun."""
         return self._leaving_since is not None
 
     async def start(self) -> None:
@@ -262,15 +269,19 @@
         self.log.write("started", incarnation=self.members.own.incarnation)
 
     def reload(self, settings: box_settings.BoxSettings) -> None:
-        """Takes settings in that changed while it runs.
+        """Applies settings that changed at run time.
 
-        Addresses hold until the next start; the seeds are of use only then.
+        Changed addresses and seeds take effect only at the next start.
         """
         self._settings = settings
         self.log.write("reloaded")
 
     async def leave(self) -> None:
-        """Stops as planned: clients go elsewhere, what runs is finished."""
+        """Shuts down gracefully.
+
+        The box directs clients to other boxes and drains in-flight requests
+        until its stop time is nearly over.
+        """
         if self.leaving:
             return
         began = self.timers.now()
@@ -286,8 +297,8 @@
         while self.timers.now() < last:
             lingered = self.timers.now() - began > LINGER_S
             if lingered and not self._exchanges:
-                # Requests that are being read are not among the exchanges yet:
-                # each connection says itself when nothing is under way on it.
+                # Requests that are still being read have no exchange yet, so
+                # each connection checks that it is idle before it closes.
                 self._callers.finish()
             if self._callers.ended:
                 break
@@ -299,11 +310,11 @@
         self._stopped.set()
 
     async def wait_stopped(self) -> None:
-        """Waits until a planned stop has ended."""
+        """Waits until a graceful shutdown has completed."""
         await self._stopped.wait()
 
     async def stop(self) -> None:
-        """Stops at once; requests in flight get a final answer first."""
+        """Stops at once; in-flight requests get a final response first."""
         servers = (self._callers, self._ready, self._entry, self._operator)
         for listening in servers:
             listening.finish()
@@ -322,7 +333,7 @@
         self.pool.close()
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state of the parts, keys left out."""
+        """Returns the state of all components, without keys."""
         return {
             "box": self._settings.box,
             "leaving": self.leaving,
@@ -353,7 +364,7 @@
             name, handler, limits, closing_log.ClosingLog(self.log)
         )
 
-    # What callers, the platform and operators ask.
+    # Handlers for requests from callers, the platform and operators.
 
     async def _serve_caller(
         self,
@@ -412,12 +423,12 @@
         )
 
     def _entries(self, zone: str) -> list[str]:
-        """Returns addresses for clients, those in their zone first."""
+        """Returns box addresses for a client, those in its zone first."""
         boxes = self.sync.ready_boxes()
         if self._is_ready():
             boxes.append(self.members.own)
         if not boxes:
-            # Nobody is known to be ready: better any box than none.
+            # No box is known to be ready; any live box is better than none.
             boxes = self.members.believed()
         near = [member for member in boxes if member.zone == zone]
         if len(near) >= ENOUGH_NEAR:
@@ -427,7 +438,8 @@
         return [member.callers for member in boxes[:MAX_ENTRIES]]
 
     def _metrics_text(self) -> bytes:
-        # Imported when first asked for: it takes 2 MB of a small box.
+        # Imported on first use because it takes 2 MB of memory, which matters
+        # on a small box.
         from martenjunction import metrics_text
 
         calls = self.store.calls
@@ -454,7 +466,7 @@
             },
         )
 
-    # What the parts ask of one another.
+    # Callbacks for the components.
 
     def _is_ready(self) -> bool:
         config = self.admitter.config
@@ -467,7 +479,7 @@
         return self.freshness.covers(self.timers.now())
 
     def _left_for_s(self) -> float | None:
-        """Returns for how long a planned stop goes on; None for none."""
+        """Returns seconds since a graceful shutdown began, or None."""
         if self._leaving_since is None:
             return None
         return self.timers.now() - self._leaving_since
@@ -489,8 +501,9 @@
     def _on_members_changed(self) -> None:
         self._most_boxes = max(self._most_boxes, len(self.members.members))
         if not self.peers.boxes():
-            # Until the next beat, up to 0.5 s, it would serve without what
-            # the others know of requests that end endpoints.
+            # Dial now rather than at the next heartbeat, up to 0.5 s later.
+            # Until then this box would serve without the peers' records of
+            # requests that crash endpoints.
             self.peers.dial()
 
     def _watch(self) -> None:
@@ -510,15 +523,16 @@
 
 
 def _query(request: messages.Request) -> dict[str, str]:
-    """Returns the fields of a request's query."""
+    """Returns the fields of a request's query string."""
     text = request.target.partition(b"?")[2].decode("latin-1")
     return dict(parse.parse_qsl(text))
 
 
 def _peer_key(settings: box_settings.BoxSettings) -> str:
-    """Returns a key that all boxes of one platform share.
+    """Returns the key that all boxes of one platform share.
 
-    The platform hands out no secret for this; the key keeps daemons of other
-    deployments out, not an attacker.
+    The platform provides no secret for peers, so the key is derived from the
+    store address. It keeps out daemons of other deployments but does not
+    protect against an attacker.
     """
     return hashlib.sha256(settings.store.encode()).hexdigest()
--- a/martenjunction/http_headers.py
+++ b/martenjunction/http_headers.py
@@ -1,9 +1,9 @@
-"""Header names, and which headers pass through."""
+"""Header names and rules for forwarding headers."""
 
 from collections.abc import Iterable
 import re
 
-# Of the project.
+# Headers of the project.
 OUTCOME = "X-Martenjunction-Outcome"
 KIND = "X-Request-Kind"
 REQUEST_ID = "X-Request-Id"
@@ -11,16 +11,16 @@
 CLASS = "X-Service-Class"
 LABEL_PREFIX = "X-Label-"
 
-# Requests a second that an endpoint takes from all daemons together.
+# Rate limit of an endpoint, in requests per second over all daemons.
 LIMIT = "X-Martenjunction-Limit"
 
-# Of the field.
+# Headers in general use.
 IDEMPOTENCY_KEY = "Idempotency-Key"
 RETRY_AFTER = "Retry-After"
 LAST_EVENT_ID = "Last-Event-ID"
 PRIORITY = "Priority"
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -35,7 +35,7 @@
     }
 )
 
-# Headers that the next hop sets itself, or must not see.
+# Headers that the next hop sets itself or must not receive.
 _REQUEST_OWN = frozenset({"host", "content-length", "expect", "authorization"})
 _RESPONSE_OWN = frozenset({"date", "server", "content-length"})
 
@@ -58,19 +58,20 @@
 
 
 def to_endpoint(pairs: Pairs) -> Pairs:
-    """Returns the caller's headers that an endpoint gets."""
+    """Returns the caller's headers to forward to an endpoint."""
     return _pass_on(pairs, _REQUEST_OWN)
 
 
 def to_caller(pairs: Pairs) -> Pairs:
-    """Returns the endpoint's headers that a caller gets."""
+    """Returns the endpoint's headers to forward to a caller."""
     return _pass_on(pairs, _RESPONSE_OWN)
 
 
 def decimal_of(value: str) -> float | None:
-    """Returns the decimal number that a header tells, such as `Retry-After`.
+    """Returns the decimal number in a header such as `Retry-After`.
 
-    Fractions are taken; a date is not, nor is anything else that is no number.
+    Fractions are accepted. Returns None for a date or any other text that is
+    not a decimal number.
     """
     text = value.strip()
     return float(text) if _DECIMAL.fullmatch(text) else None
--- a/martenjunction/http_server.py
+++ b/martenjunction/http_server.py
@@ -1,8 +1,9 @@
-"""The HTTP server of a daemon, over tornado's.
+"""The HTTP server of a daemon, based on tornado's.
 
-One state a connection says whether a request is under way on it, from its
-first byte to the last byte of its answer. Idle time, time for a body and
-planned stop ask it before they close.
+Each connection tracks whether a request is in flight on it, from the first
+byte of the request to the last byte of its response. The idle timeout, the
+body timeout and the graceful shutdown check this before they close the
+connection.
 """
 
 import asyncio
@@ -24,27 +25,28 @@
 from martenjunction.http1 import closings
 from martenjunction.http1 import peeks
 
-# Seconds that a head gets which had begun when the idle time ended.
+# Seconds to complete a request head that had begun when the idle timeout
+# expired.
 HEAD_TIMEOUT = 10.0
 
-# Seconds until the next look at a connection whose bytes have arrived and
-# are not yet read.
+# Seconds until a connection is checked again that has received bytes which
+# are not read yet.
 NEXT_LOOK = 0.1
 
-# Seconds between looks at what a planned stop waits for.
+# Seconds between checks for in-flight requests during a graceful shutdown.
 STOP_INTERVAL = 0.05
 
-# Seconds for which a stop waits for the first request of a new connection: a
-# client that had to connect sends it with the next packet.
+# Seconds for which a shutdown waits for the first request on a new connection.
+# A client that had to connect sends it in its next packet.
 FIRST_REQUEST = 1.0
 
-# Kinds of log lines, as a box on the platform writes them.
+# Kinds of log lines, the same as those of a box on the platform.
 CLOSED = "connection-closed"
 AFTER_CLOSE = "request-after-close"
 
 
 class Stage(enum.Enum):
-    """What a connection is at."""
+    """The stage of a connection's current request."""
 
     HEAD = "head"
     BODY = "body"
@@ -52,14 +54,14 @@
 
 
 class Server(httpserver.HTTPServer):
-    """Serves requests, and closes only connections that carry none."""
+    """An HTTP server that closes only connections without a request."""
 
     def initialize(self, *args: Any, **kwargs: Any) -> None:
-        """Takes the arguments of `httpserver.HTTPServer`.
+        """Initializes the server, as `httpserver.HTTPServer` does.
 
-        The times for idle connections and bodies are kept here: the
-        library's own timers close what its reader has already been woken
-        for.
+        The idle and body timeouts are handled here because the library's
+        timers also close connections whose reader has already been woken for
+        received bytes.
         """
         super().initialize(*args, **kwargs)
         self._times: dict[Stage, float | None] = {
@@ -74,11 +76,14 @@
             self.request_callback.add_transform(_TellLastAnswer)
 
     def end_reuse(self) -> None:
-        """Has each connection end with its next answer, which says so."""
+        """Closes each connection after its next response.
+
+        The response announces this in its `Connection` header.
+        """
         self.conn_params.no_keep_alive = True
 
     async def finish(self) -> None:
-        """Answers what is under way, then ends; it may take any time."""
+        """Drains in-flight requests, then stops; has no time limit."""
         while any(held.in_request for held in self._open.values()):
             await asyncio.sleep(STOP_INTERVAL)
         self.stop()
@@ -97,36 +102,36 @@
     def handle_stream(
         self, stream: iostream.IOStream, address: tuple[Any, ...]
     ) -> None:
-        """Begins to serve a connection."""
+        """Starts to serve a connection."""
         self._open[stream] = _Connection(stream, self._times)
         super().handle_stream(stream, address)
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Begins to wait for the next request of a connection."""
+        """Starts to wait for the next request on a connection."""
         made = super().start_request(server_conn, request_conn)
         held = self._open[_stream_of(server_conn)]
         held.enter(Stage.HEAD)
         return _Noted(made, held)
 
     def on_close(self, server_conn: object) -> None:
-        """Forgets a connection."""
+        """Removes a closed connection."""
         super().on_close(server_conn)
         self._open.pop(_stream_of(server_conn)).forget()
 
 
 class _Connection:
-    """Whether a request is under way on a connection."""
+    """Tracks whether a request is in flight on a connection."""
 
     def __init__(
         self, stream: iostream.IOStream, times: dict[Stage, float | None]
     ) -> None:
-        """Begins with a connection that was just accepted.
+        """Initializes the state of a newly accepted connection.
 
         Args:
-            stream: The connection.
-            times: The longest time of each stage, in seconds.
+            stream: The connection's stream.
+            times: The timeout of each stage, in seconds; None for no timeout.
         """
         self._stream = stream
         self._times = times
@@ -140,54 +145,56 @@
 
     @property
     def in_request(self) -> bool:
-        """Whether any byte of a request came since the last answer."""
+        """Whether any byte of a request arrived since the last response."""
         return (
             self._stage is not Stage.HEAD or self._arriving or self._head_began
         )
 
     @property
     def awaits_first(self) -> bool:
-        """Whether its first request is likely to be on its way."""
+        """Whether the first request is likely to be on its way."""
         age = self._loop.time() - self._accepted
         return not self._used and age < FIRST_REQUEST
 
     def enter(self, stage: Stage) -> None:
-        """Goes on to a stage, whose time begins."""
+        """Enters a stage and starts its timeout."""
         self._stage = stage
         self._late = False
         self._used = self._used or stage is not Stage.HEAD
         self._set_timer(self._times[stage])
 
     def close(self) -> None:
-        """Closes a connection that carries no request."""
+        """Closes a connection without an in-flight request."""
         self._stream.close()
 
     def cut_off(self, why: closings.CloseReason) -> None:
-        """Closes the connection, whatever is under way.
+        """Closes the connection, even if a request is in flight.
 
-        A handler logs its request itself, since it knows the id.
+        Logs only a request whose head is incomplete. For any other, the
+        handler writes the log line because it knows the request id.
         """
         if self._stage is Stage.HEAD and self.in_request:
             eliot.log_message(CLOSED, request_id=None, why=why)
         self._stream.close(errors.ConnectionCutError(why))
 
     def forget(self) -> None:
-        """Ends its timer."""
+        """Cancels the timer."""
         self._set_timer(None)
 
     @property
     def _arriving(self) -> bool:
-        """Whether the reader has bytes to take in, or was woken for some.
+        """Whether received bytes are unread or the reader was woken for some.
 
-        Closed then, a request would be lost that came in time: it has come
-        when the event loop was held up over the end of a time.
+        After an event loop stall that outlasts a timeout, a request may have
+        arrived in time without having been read. Closing the connection then
+        would lose it.
         """
         waiting = peeks.peek(self._stream.socket)
         return not self._stream.reading() or waiting is peeks.Waiting.BYTES
 
     @property
     def _head_began(self) -> bool:
-        # The library has no public call for this.
+        # tornado has no public API for this.
         return self._stream._read_buffer_size > 0
 
     def _set_timer(self, seconds: float | None) -> None:
@@ -209,14 +216,14 @@
             self._refuse()
 
     def _refuse(self) -> None:
-        """Ends a request that is not read in full: nothing of it was run."""
+        """Rejects a request that was not received in full, so it never ran."""
         if not self._stream.writing():
             self._stream.write(_TOO_SLOW)
         self.cut_off(_SLOW[self._stage])
 
 
 class _Noted(httputil.HTTPMessageDelegate):
-    """Tells a connection how far its request is read."""
+    """Updates a connection's stage as its request is received."""
 
     def __init__(
         self, inner: httputil.HTTPMessageDelegate, held: _Connection
@@ -244,7 +251,7 @@
 
 
 class _TellLastAnswer(web.OutputTransform):
-    """Says in each answer after `end_reuse` that its connection ends."""
+    """Adds `Connection: close` to each response after `end_reuse`."""
 
     def __init__(self, request: httputil.HTTPServerRequest) -> None:
         connection = cast(http1connection.HTTP1Connection, request.connection)
@@ -265,7 +272,7 @@
 def close_reason(
     connection: httputil.HTTPConnection | None,
 ) -> closings.CloseReason:
-    """Returns why a request's connection, which is closed, was closed."""
+    """Returns the reason for which a request's connection was closed."""
     error = cast(http1connection.HTTP1Connection, connection).stream.error
     if isinstance(error, errors.ConnectionCutError):
         return closings.CloseReason(error.why)
@@ -275,7 +282,7 @@
 def cut_off(
     connection: httputil.HTTPConnection | None, why: closings.CloseReason
 ) -> None:
-    """Closes a request's connection within its answer."""
+    """Closes a request's connection in the middle of its response."""
     stream = cast(http1connection.HTTP1Connection, connection).stream
     stream.close(errors.ConnectionCutError(why))
 
--- a/martenjunction/layouts.py
+++ b/martenjunction/layouts.py
@@ -1,4 +1,4 @@
-"""What the platform's list and the configuration mean for the cells."""
+"""Derives the layout of cells from the box list and the configuration."""
 
 from martenjunction.cells import broker
 from martenjunction.cells import directory
@@ -9,7 +9,7 @@
 
 
 class LayoutKeeper:
-    """Keeps the cells of a daemon in step with lists and configuration."""
+    """Updates a daemon's cells when the box list or configuration changes."""
 
     def __init__(
         self,
@@ -18,13 +18,13 @@
         cells: host.CellHost,
         asked: broker.Broker,
     ) -> None:
-        """Makes a keeper that knows no endpoint yet.
+        """Initializes the keeper without any endpoints.
 
         Args:
-            members: Is told of the daemons that are listed.
-            held: The configuration in force.
+            members: The membership, updated with the listed daemons.
+            held: The active configuration.
             cells: The cells that this daemon owns.
-            asked: Places requests with cells.
+            asked: The broker that places requests with cells.
         """
         self._members = members
         self._store = held
@@ -36,7 +36,7 @@
         self._endpoint_states: dict[str, model.BoxState] = {}
 
     def on_listed(self, boxes: list[model.ListedBox]) -> None:
-        """Takes in a part of the platform's list."""
+        """Applies a part of the platform's box list."""
         for box in boxes:
             if box.role is model.BoxRole.ENDPOINT:
                 self._endpoint_states[box.name] = box.state
@@ -45,7 +45,7 @@
         self._change()
 
     def on_config_changed(self) -> None:
-        """Takes in the configuration in force."""
+        """Applies the active configuration."""
         if self._is_old():
             self._change()
 
@@ -72,7 +72,7 @@
         self._broker.set_cells(self._infos)
 
     def _is_old(self) -> bool:
-        # A table that did not change is the same object.
+        # The store keeps the same object for an unchanged table.
         config = self._store.config
         services, endpoints = self._laid_out
         return config.service is not services or (
--- a/martenjunction/listeners.py
+++ b/martenjunction/listeners.py
@@ -14,16 +14,16 @@
 from martenjunction.config import settings as daemon_settings
 from martenjunction.operators import handlers as operator_handlers
 
-# Seconds for which a connection may rest, and that a body may take.
+# Idle timeout of a connection and timeout of a request body, in seconds.
 IDLE_CONNECTION = 75.0
 BODY_TIMEOUT = 60.0
 
-# Connections that may wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 BACKLOG = 1024
 
 
 class Listeners:
-    """Both servers of a daemon."""
+    """The caller and operator servers of a daemon."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         callers: caller_service.CallerService,
         operated: operator_handlers.Operated,
     ) -> None:
-        """Makes servers that do not listen yet.
+        """Initializes the servers, which do not listen yet.
 
         Args:
             settings: The daemon's settings.
-            callers: The service behind the callers' side.
-            operated: What operators ask and tell.
+            callers: The service that handles callers' requests.
+            operated: The daemon that handles operators' requests.
         """
         self._settings = settings
         self._callers = callers
@@ -46,7 +46,7 @@
     @property
     def sockets(self) -> list[socket.socket]:
         """The sockets that callers and operators connect to."""
-        # The library has no public call for this.
+        # tornado has no public API for this.
         return [
             listening
             for server in self._servers
@@ -54,7 +54,7 @@
         ]
 
     def begin(self) -> None:
-        """Begins to listen."""
+        """Starts to listen."""
         settings = self._settings
         self._listen(
             _callers_side(self._callers),
@@ -68,17 +68,20 @@
         )
 
     def end_reuse(self) -> None:
-        """Has each connection end with its next answer, which says so."""
+        """Closes each connection after its next response.
+
+        The response announces this in its `Connection` header.
+        """
         for server in self._servers:
             server.end_reuse()
 
     async def finish(self) -> None:
-        """Answers what is under way, then ends; it may take any time."""
+        """Drains in-flight requests, then stops; has no time limit."""
         for server in self._servers:
             await server.finish()
 
     async def cut_off(self) -> None:
-        """Closes everything at once; requests in flight are cut off."""
+        """Closes all connections at once and aborts in-flight requests."""
         for server in self._servers:
             server.cut_off()
         for server in self._servers:
--- a/martenjunction/logs.py
+++ b/martenjunction/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, by eliot."""
+"""Structured logging as JSON lines, using eliot."""
 
 import json
 import logging
@@ -15,7 +15,7 @@
 
 
 class _EliotHandler(logging.Handler):
-    """Passes what modules log by the standard library on to eliot."""
+    """Forwards records of the standard `logging` module to eliot."""
 
     def emit(self, record: logging.LogRecord) -> None:
         fields: dict[str, Any] = {
@@ -29,7 +29,7 @@
 
 
 def open_log(path: str) -> TextIO:
-    """Opens the file for the log lines.
+    """Opens the log file.
 
     Args:
         path: A file, or `-` for standard error.
@@ -43,16 +43,16 @@
         return open(path, "a", buffering=1, encoding="utf-8")  # noqa: SIM115
     except OSError as error:
         raise errors.SettingsError(
-            f"the log cannot be opened: {error.strerror}", path
+            f"cannot open the log file: {error.strerror}", path
         ) from error
 
 
 def start(path: str, box: str) -> None:
-    """Sends all logs of the process to one place.
+    """Writes all logs of the process to one file.
 
     Args:
         path: A file, or `-` for standard error.
-        box: Goes with every line.
+        box: Name of the box, added to every line.
     """
     eliot.to_file(open_log(path))
     eliot.add_global_fields(box=box)
@@ -64,20 +64,20 @@
 
 
 class BoundedOutput:
-    """Writes lines without ever waiting for the reader.
+    """Writes lines without blocking on the reader.
 
-    Lines that do not fit into the pipe at once are kept up to a bound; those
-    beyond are dropped and counted.
+    Lines that do not fit into the pipe are buffered up to a limit; further
+    lines are dropped and counted.
     """
 
-    # Bytes that may wait for the reader of the log.
+    # Maximum number of buffered bytes.
     MAX_WAITING_BYTES = 256 * 1024
 
     def __init__(self, descriptor: int) -> None:
-        """Makes an output.
+        """Initializes the output.
 
         Args:
-            descriptor: Where to write; it is set not to block.
+            descriptor: The file descriptor, which is set to non-blocking.
         """
         self._descriptor = descriptor
         self._waiting = bytearray()
@@ -86,7 +86,7 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that were dropped so far."""
+        """The number of dropped lines."""
         return self._dropped
 
     def write(self, message: dict[str, Any]) -> None:
@@ -104,16 +104,16 @@
         try:
             written = os.write(self._descriptor, self._waiting)
         except OSError:
-            # The reader does not keep up or is gone: the lines wait.
+            # The reader is too slow or gone; the lines stay in the buffer.
             return
         del self._waiting[:written]
 
 
 def start_bounded(box: str) -> BoundedOutput:
-    """Sends all logs to standard output, never waiting for its reader.
+    """Writes all logs to standard output without blocking on its reader.
 
     Args:
-        box: Goes with every line.
+        box: Name of the box, added to every line.
     """
     output = BoundedOutput(sys.stdout.fileno())
     eliot.add_destinations(output.write)
--- a/martenjunction/mailbox.py
+++ b/martenjunction/mailbox.py
@@ -1,4 +1,4 @@
-"""Bounded queues by which tasks talk to one another."""
+"""Bounded queues for messages between tasks."""
 
 import asyncio
 import collections
@@ -11,21 +11,21 @@
 
 
 class MailboxFullError(errors.MartenjunctionError):
-    """The receiver does not keep up."""
+    """The mailbox is full because its reader is too slow."""
 
 
 class Mailbox(Generic[T]):
-    """A queue that one task reads and any task writes.
+    """A bounded queue with one reader and any number of writers.
 
-    The reader takes all that has gathered at once, so that a busy reader does
+    The reader can take all queued messages at once, so that a busy reader does
     its per-batch work once for many messages.
     """
 
     def __init__(self, limit: int = 10_000) -> None:
-        """Makes an empty mailbox.
+        """Initializes an empty mailbox.
 
         Args:
-            limit: Messages that may wait in it.
+            limit: Maximum number of queued messages.
         """
         self._limit = limit
         self._messages: collections.deque[T] = collections.deque()
@@ -38,15 +38,17 @@
         """Adds a message.
 
         Raises:
-            MailboxFullError: If the reader is too far behind.
+            MailboxFullError: If the mailbox is full.
         """
         if len(self._messages) >= self._limit:
-            raise MailboxFullError(f"{self._limit} messages wait")
+            raise MailboxFullError(
+                f"mailbox is full: {self._limit} messages are queued"
+            )
         self._messages.append(message)
         self._filled.set()
 
     async def get(self) -> T:
-        """Waits for a message and takes it."""
+        """Waits for a message and returns it."""
         await self._wait()
         message = self._messages.popleft()
         if not self._messages:
@@ -54,7 +56,7 @@
         return message
 
     async def get_all(self) -> list[T]:
-        """Waits for at least one message and takes all there are."""
+        """Waits for at least one message and returns all that are queued."""
         await self._wait()
         messages = list(self._messages)
         self._messages.clear()
--- a/martenjunction/metrics.py
+++ b/martenjunction/metrics.py
@@ -6,7 +6,8 @@
 
 from hdrh import histogram
 
-# Histograms hold microseconds, from one to an hour, with two digits.
+# Histograms record durations from one microsecond to one hour, in
+# microseconds, with two significant digits.
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
 DIGITS = 2
@@ -21,7 +22,7 @@
 
 
 class Metrics:
-    """All counters and histograms, by name and labels."""
+    """Counters and histograms, keyed by name and labels."""
 
     def __init__(self) -> None:
         self._counters: collections.Counter[tuple[str, Labels]] = (
@@ -44,7 +45,7 @@
         self._histograms[key].record_value(value)
 
     def as_dict(self) -> dict[str, Any]:
-        """Returns all values in a form that JSON can hold."""
+        """Returns all values as JSON-serializable data."""
         return {
             "counters": [
                 {"name": name, "labels": dict(labels), "value": value}
--- a/martenjunction/metrics_text.py
+++ b/martenjunction/metrics_text.py
@@ -1,7 +1,7 @@
-"""Metrics in the Prometheus text form.
+"""Metrics in the Prometheus text format.
 
-In a module of its own: a daemon imports it when it is first asked, since it
-takes megabytes that a small box needs for requests.
+This is a separate module so that a box can import it on first use: it takes
+megabytes of memory that a small box needs for requests.
 """
 
 from collections.abc import Iterator
@@ -14,11 +14,11 @@
 
 
 def render(recorded: metrics.Metrics, gauges: dict[str, float]) -> bytes:
-    """Returns all values in the Prometheus text form.
+    """Returns all values in the Prometheus text format.
 
     Args:
         recorded: Counters and histograms.
-        gauges: Further values of the moment, by name.
+        gauges: Current values of further metrics, by name.
     """
     registry = prometheus_client.CollectorRegistry()
     registry.register(_Collector(recorded, gauges))
@@ -26,7 +26,7 @@
 
 
 class _Collector(prometheus_client.registry.Collector):
-    """Turns the values into the families of the Prometheus library."""
+    """Converts the values to metric families of the Prometheus client."""
 
     PREFIX = "martenjunction_"
 
--- a/martenjunction/model.py
+++ b/martenjunction/model.py
@@ -1,4 +1,4 @@
-"""The routing configuration and the endpoints, as data."""
+"""Data classes of the routing configuration and the endpoints."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated on a route, and how its answers come."""
+    """Kind of a route: what may be retried and whether it streams."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -37,15 +37,17 @@
         name: The route's name.
         host: The host, in lower case.
         prefix: Begins and ends with a slash.
-        kind: What may be repeated.
-        resumable: Whether a stream may be continued at another endpoint.
+        kind: What may be retried, and whether responses are streamed.
+        resumable: Whether a stream may be resumed on another endpoint.
         targets: Services that serve it.
-        tier: Rank of the class; 0 is the highest.
-        target_s: Seconds to a whole answer, or a stream's first event.
-        gap_target_s: Longest pause between events, or None.
-        timeout_s: Longest that a request may be held.
-        max_attempts: Endpoints that one request may be sent to.
-        public: Whether no key is needed.
+        tier: Priority tier; 0 is the highest.
+        target_s: Target in seconds for the whole response, or for the first
+            event of a stream.
+        gap_target_s: Target for the longest pause between events of a stream,
+            in seconds, or None.
+        timeout_s: Maximum time in seconds for which a request may be held.
+        max_attempts: Maximum number of endpoints to which a request is sent.
+        public: Whether requests need no key.
     """
 
     name: str
@@ -69,14 +71,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """What is known of the model engines of a service.
+    """Properties of the model engines of a service.
 
     Attributes:
-        slots: Requests that one runs at once.
-        cache_tokens: Tokens that fit into its memory.
-        cache_token_bytes: Bytes of memory for one token.
-        tokens_per_event: Tokens in one event of a stream.
-        keeps_copies: Whether an engine takes copies of another one's runs.
+        slots: Requests that an engine runs concurrently.
+        cache_tokens: Capacity of its cache in tokens.
+        cache_token_bytes: Bytes of cache memory per token.
+        tokens_per_event: Tokens per event of a stream.
+        keeps_copies: Whether an engine stores copies of another engine's runs.
     """
 
     slots: int
@@ -93,8 +95,9 @@
     Attributes:
         name: The service's name.
         health_path: Path of its health check.
-        max_connections: Connections that one endpoint accepts from all.
-        engine: The model engines' figures; None for a plain service.
+        max_connections: Connections that an endpoint accepts in total from all
+            boxes.
+        engine: Properties of the model engines; None for a plain service.
     """
 
     name: str
@@ -105,11 +108,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer with keys of its own.
+    """A customer with its own keys.
 
     Attributes:
         name: The workspace's name.
-        tier: Its rank; it goes before the route's. None if it has none.
+        tier: Its tier, which takes precedence over the route's; None if unset.
     """
 
     name: str
@@ -118,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutingConfig:
-    """One version of the whole configuration; versions only rise.
+    """One version of the whole configuration; versions only increase.
 
     Attributes:
         version: The version.
@@ -127,7 +130,7 @@
         workspaces: Workspaces by key.
         needs_keys: Whether requests to routes that are not public must carry
             a key.
-        limits: Limits for clients.
+        limits: Limits for client connections.
     """
 
     version: int
@@ -156,15 +159,15 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def shortest_pause_s(self, service: str) -> float | None:
-        """Returns the shortest pause that streams of a service may have."""
+        """Returns the shortest pause target of a service's streams."""
         return self._pauses.get(service)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of a path, or None.
+        """Returns the route with the longest matching prefix, or None.
 
         Args:
             host: The host, in any case, with or without a port.
-            path: The path without its query.
+            path: The path without the query string.
         """
         name = host.lower().rpartition(":")[0] if ":" in host else host.lower()
         for route in self._by_host.get(name, ()):
@@ -174,7 +177,7 @@
 
 
 class EndpointState(enum.StrEnum):
-    """What an endpoint says of itself."""
+    """State that an endpoint reports."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -185,17 +188,17 @@
     """One start of one replica of a service.
 
     Attributes:
-        id: Names this start among all that are known; its entry's name, with
-            the moment of the start where the entry tells it.
-        service: The service that it serves.
+        id: Unique id of this start: the name of its entry, followed by the
+            start time if the entry contains it.
+        service: Name of the service.
         address: IP address and port.
         zone: Its availability zone.
-        slots: Requests that it works on at once.
-        state: What it says of itself.
-        cold_s: Seconds from its start for which it is slow.
-        name: The name of its entry, if not `id`: what it answers to, and what
-            it keeps when it starts again.
-        version: The version of its software.
+        slots: Requests that it runs concurrently.
+        state: The state that it reports.
+        cold_s: Duration of its slow warm-up after the start, in seconds.
+        name: The name of its entry, if different from `id`. The endpoint is
+            addressed by this name and keeps it across restarts.
+        version: Software version.
     """
 
     id: str
@@ -210,11 +213,11 @@
 
     @property
     def entry(self) -> str:
-        """The name of its entry."""
+        """The name of the endpoint's entry."""
         return self.name or self.id
 
 
 def build(endpoint: Endpoint, service: Service) -> str:
-    """Names what runs at an endpoint: its software and its configuration."""
+    """Returns an id of an endpoint's software version and configuration."""
     config = xxhash.xxh3_64_hexdigest(repr(service).encode())
     return f"{endpoint.version}/{config}"
--- a/martenjunction/planned_stop.py
+++ b/martenjunction/planned_stop.py
@@ -1,4 +1,4 @@
-"""How a daemon ends its service to callers: answered, or told why not."""
+"""Graceful shutdown of a daemon's service to callers."""
 
 import asyncio
 import logging
@@ -10,8 +10,9 @@
 
 logger = logging.getLogger(__name__)
 
-# Seconds in which requests that a planned stop ended at its limit get their
-# answers; one that waits for its claim may wait as long as that takes.
+# Seconds for sending the final responses of requests that were ended at the
+# time limit of a graceful shutdown. A request that waits for its claim may need
+# the whole claim timeout.
 FINAL_ANSWERS = keeper.CLAIM_TIMEOUT + 1.0
 
 
@@ -20,17 +21,17 @@
     listening: listeners.Listeners,
     callers: caller_service.CallerService,
 ) -> None:
-    """Serves until the last answer is out, or the limit has passed.
+    """Serves until the last response is sent or the time limit has passed.
 
     Args:
-        settings: Hold the limit, and how long entry answers are kept.
+        settings: Provides the time limit and the entry TTL.
         listening: The daemon's servers.
-        callers: Holds the requests.
+        callers: The service that holds the requests.
     """
     listening.end_reuse()
     try:
         async with asyncio.timeout(settings.drain_limit):
-            # Callers may keep an old entry answer for this long.
+            # Callers may cache an entry response for this long.
             await asyncio.sleep(settings.entry_ttl)
             await _finish_requests(listening, callers)
     except TimeoutError:
@@ -41,17 +42,18 @@
     listening: listeners.Listeners, callers: caller_service.CallerService
 ) -> None:
     await listening.finish()
-    # A call that may not be repeated goes on when its caller left.
+    # A call that must not be repeated continues after its caller
+    # disconnects.
     await callers.wait_idle()
 
 
 async def _end_requests(
     listening: listeners.Listeners, callers: caller_service.CallerService
 ) -> None:
-    logger.warning("the planned stop took too long")
+    logger.warning("graceful shutdown exceeded its time limit")
     callers.stop_all()
     try:
         async with asyncio.timeout(FINAL_ANSWERS):
             await _finish_requests(listening, callers)
     except TimeoutError:
-        logger.warning("some callers did not take their last answers")
+        logger.warning("final responses to some callers timed out")
--- a/martenjunction/rankings.py
+++ b/martenjunction/rankings.py
@@ -1,4 +1,4 @@
-"""Which boxes a daemon can reach, and what they are ranked for."""
+"""Rankings of reachable boxes for ownership, watching and entry."""
 
 from collections.abc import Callable
 import random
@@ -10,15 +10,15 @@
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 
-# Daemons of each availability zone that follow the platform all the time.
+# Daemons per availability zone that continuously watch the platform.
 WATCHERS_PER_ZONE = 2
 
-# Addresses in one entry answer.
+# Maximum number of addresses in an entry response.
 MAX_ENTRIES = 4
 
 
 class Rankings:
-    """Ranks the boxes that are believed live and can be reached."""
+    """Ranks the boxes that are considered live and are connected."""
 
     def __init__(
         self,
@@ -28,14 +28,15 @@
         rng: random.Random,
         held: Callable[[], float],
     ) -> None:
-        """Makes rankings that follow the membership.
+        """Initializes the rankings, which follow the membership.
 
         Args:
             settings: The daemon's settings.
-            members: The boxes.
-            peers: Tells which of them can be reached.
-            rng: Draws among entry addresses that are alike.
-            held: Returns the part of what this daemon may hold that is taken.
+            members: The members of the fleet.
+            peers: The connections to other boxes.
+            rng: Breaks ties between entry addresses.
+            held: Returns this daemon's utilization as a fraction of the
+                requests that it may hold.
         """
         self._box = settings.box
         self._zone = settings.zone
@@ -46,7 +47,7 @@
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this box follows the platform for its zone."""
+        """Whether this box watches the platform for its zone."""
         near = [
             member.box
             for member in self._reachable()
@@ -56,7 +57,7 @@
         return self._box in ranking[:WATCHERS_PER_ZONE]
 
     def owners(self, cell: directory.CellInfo) -> list[str]:
-        """Returns the boxes that may own a cell, the best first."""
+        """Returns the boxes that may own a cell, best first."""
         places = [
             directory.BoxPlace(member.box, member.zone)
             for member in self._reachable()
@@ -69,7 +70,7 @@
         return rendezvous.owner(boxes, key) or self._box
 
     def entry(self) -> list[caller_service.EntryAddress]:
-        """Ranks boxes for callers: near ones first, then those with room."""
+        """Returns boxes for callers, ordered by distance and utilization."""
         ranked = sorted(
             self._reachable(),
             key=lambda member: (
--- a/martenjunction/registry.py
+++ b/martenjunction/registry.py
@@ -1,4 +1,4 @@
-"""Named extensions, filled by decorators."""
+"""Registries of named extensions, filled by decorators."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -11,19 +11,19 @@
 
 
 class Registry(Generic[T]):
-    """A table of extensions of one kind."""
+    """A registry of extensions of one kind."""
 
     def __init__(self, kind: str) -> None:
-        """Makes an empty table.
+        """Initializes an empty registry.
 
         Args:
-            kind: What is registered here; used in error messages.
+            kind: The kind of extension, for error messages.
         """
         self._kind = kind
         self._items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that files its argument under `name`."""
+        """Returns a decorator that registers its argument as `name`."""
 
         def decorate(item: T) -> T:
             if name in self._items:
@@ -37,7 +37,7 @@
         """Returns the extension called `name`.
 
         Raises:
-            MartenjunctionError: If there is none.
+            MartenjunctionError: If there is no such extension.
         """
         try:
             return self._items[name]
--- a/martenjunction/timers.py
+++ b/martenjunction/timers.py
@@ -1,4 +1,4 @@
-"""The timer service that parts subscribe to."""
+"""The timer service to which components subscribe."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Seconds of delay from which on the event loop counts as held up; on calm days
-# it is not.
+# Delay, in seconds, above which the event loop counts as stalled. Delays stay
+# below it under light load.
 HELD_UP_S = 0.03
 
 Tick = Callable[[], None]
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass
 class Subscription:
-    """One part's wish to be called at intervals.
+    """A subscription to periodic calls.
 
     Attributes:
         name: Shown in the dump and in logs.
@@ -38,19 +38,19 @@
 
 
 class Timers:
-    """Calls subscribers at their intervals and tells the time.
+    """Calls subscribers at their intervals and provides the time.
 
-    All code that decides takes its time from `now`, so that a test can put
-    another clock in its place.
+    All decision code takes its time from `now`, so that a test can substitute
+    another clock.
     """
 
     RESOLUTION = 0.01
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
-            clock: Returns seconds on a clock that never goes back.
+            clock: Returns seconds on a monotonic clock.
         """
         self._clock = clock
         self._subscriptions: list[Subscription] = []
@@ -62,7 +62,10 @@
 
     @property
     def worst_delay(self) -> float:
-        """The longest time, in seconds, that the event loop woke us late."""
+        """The worst recent event loop delay in seconds.
+
+        It decays by 0.1 percent at each wake-up.
+        """
         return self._worst_delay
 
     def now(self) -> float:
@@ -70,19 +73,20 @@
         return self._clock()
 
     def listened(self) -> float:
-        """Returns seconds on a clock that stops while the loop is held up.
+        """Returns seconds on a clock that stops during event loop stalls.
 
-        What others said meanwhile is not read yet, so their silence is
-        measured by it: else one hold-up makes everybody silent at once.
+        Messages that arrive during a stall are not read until it ends, so the
+        silence of peers is measured on this clock. Otherwise a single stall
+        would make all of them appear silent at once.
         """
         now = self.now()
         return now - self._held_up_s - self._late(now)
 
     def subscribe(self, name: str, interval: float, tick: Tick) -> Subscription:
-        """Has `tick` called every `interval` seconds.
+        """Calls `tick` every `interval` seconds.
 
         Args:
-            name: Names the subscriber.
+            name: Name of the subscriber.
             interval: Seconds, at least `RESOLUTION`.
             tick: Called without arguments.
 
@@ -95,10 +99,10 @@
         return subscription
 
     def on_held_up(self, callback: Callable[[float], None]) -> None:
-        """Has a callback told when the event loop was held up.
+        """Sets the callback for event loop stalls.
 
         Args:
-            callback: Called with the seconds by which it woke us late.
+            callback: Called with the delay in seconds.
         """
         self._held_up = callback
 
@@ -113,11 +117,11 @@
                 self._call(subscription)
 
     def rest_until(self, wake: float) -> None:
-        """Notes that nothing is to be called before a moment."""
+        """Records the time at which the next call is due."""
         self._wake = wake
 
     def wake(self) -> None:
-        """Calls every subscriber that is due, at or after that moment."""
+        """Measures the event loop delay and calls due subscribers."""
         now = self.now()
         late = now - self._wake
         self._worst_delay = max(self._worst_delay * 0.999, late)
@@ -146,7 +150,7 @@
             self.wake()
 
     def _late(self, now: float) -> float:
-        """Returns for how long, in seconds, the loop is held up by now."""
+        """Returns the duration of the current stall in seconds."""
         return max(0.0, now - self._wake - HELD_UP_S)
 
     def _next_due(self) -> float:
--- a/martenjunction/wiring.py
+++ b/martenjunction/wiring.py
@@ -1,4 +1,4 @@
-"""Which part of a daemon takes in which message of its peers."""
+"""Routing of peer messages to the components of a daemon."""
 
 from martenjunction.cells import broker
 from martenjunction.cells import host
@@ -8,7 +8,7 @@
 from martenjunction.claims import messages as claim_messages
 from martenjunction.peers import hub
 
-# What entry daemons tell the owner of a cell.
+# Messages from entry daemons to the owner of a cell.
 TO_OWNER = (
     cell_messages.AskPlace,
     cell_messages.AnnounceRun,
@@ -17,7 +17,7 @@
     cell_messages.RunEnded,
 )
 
-# What owners of cells tell entry daemons.
+# Messages from owners of cells to entry daemons.
 TO_ENTRY = (
     cell_messages.PlaceGranted,
     cell_messages.RequestShed,
@@ -25,18 +25,18 @@
     cell_messages.Summary,
 )
 
-# What entry daemons tell the owner of a shard of claims.
+# Messages from entry daemons to the owner of a claim shard.
 TO_SHARD = (claim_messages.Claim, claim_messages.Settle)
 
 
 class CellLinks:
-    """Takes messages between entry daemons and owners of cells to either."""
+    """Carries messages between entry daemons and owners of cells."""
 
     def __init__(self, box: str, peers: hub.PeerHub) -> None:
-        """Makes links; they carry nothing before `connect`.
+        """Initializes the links, which are unusable before `connect`.
 
         Args:
-            box: This box, whose messages to itself use no connection.
+            box: This box; messages to itself are delivered directly.
             peers: The connections to other boxes.
         """
         self._box = box
@@ -44,11 +44,11 @@
         self._gate = summaries.SummaryGate()
 
     def connect(self, cells: host.CellHost, asked: broker.Broker) -> None:
-        """Has messages go to the parts that take them in.
+        """Subscribes the components to their messages.
 
         Args:
             cells: The cells that this daemon owns.
-            asked: Places this daemon's requests with cells.
+            asked: The broker that places this daemon's requests with cells.
         """
         self._cells = cells
         self._broker = asked
@@ -58,14 +58,14 @@
             self._peers.subscribe(to_entry, asked.receive)
 
     def to_entry(self, box: str, message: cell_messages.FromOwner) -> None:
-        """Sends what the owner of a cell tells an entry daemon."""
+        """Sends a message from the owner of a cell to an entry daemon."""
         if box == self._box:
             self._broker.receive(box, message)
         else:
             self._peers.send(box, message)
 
     def to_owner(self, box: str, message: cell_messages.FromEntry) -> bool:
-        """Sends what an entry daemon tells the owner of a cell.
+        """Sends a message from an entry daemon to the owner of a cell.
 
         Returns:
             Whether it could be sent.
@@ -76,7 +76,7 @@
         return self._peers.send(box, message)
 
     def send_summaries(self, now: float) -> None:
-        """Tells all boxes of the cells here, as far as there is news.
+        """Broadcasts the summaries of local cells that are due.
 
         Args:
             now: Seconds on the daemon's clock.
@@ -88,16 +88,16 @@
             self._peers.broadcast(summary)
 
     def tell_all_again(self) -> None:
-        """Forgets what was told: a box came that has not heard it."""
+        """Resets the throttle so that a new peer gets all summaries."""
         self._gate.forget()
 
 
 def connect_claims(peers: hub.PeerHub, claims: keeper.ClaimKeeper) -> None:
-    """Has messages on claims go to their keeper.
+    """Subscribes the claim keeper to claim messages.
 
     Args:
-        peers: Where they come from.
-        claims: Keeps keyed requests from running twice.
+        peers: The connections to other boxes.
+        claims: Prevents keyed requests from running twice.
     """
     for to_shard in TO_SHARD:
         peers.subscribe(to_shard, claims.receive)
