--- a/martenjunction/application.py
+++ b/martenjunction/application.py
@@ -182,11 +182,13 @@
             SUMMARY_INTERVAL,
             lambda: self._links.send_summaries(self.timers.now()),
         )
-        self.timers.subscribe("owners", OWNERSHIP_INTERVAL, self._update)
+        self.timers.subscribe(
+            "owners", OWNERSHIP_INTERVAL, self._schedule_update
+        )
         self.timers.start()
         self.callers.start()
         self._loads.start()
-        self._listeners.begin()
+        self._listeners.start()
         await self._update_cells()
 
     async def drain(self) -> None:
@@ -214,7 +216,7 @@
 
     async def stop(self) -> None:
         """Stops at once; in-flight requests are aborted."""
-        await self._listeners.cut_off()
+        await self._listeners.abort()
         await self.claims.stop()
         if self._feed is not None:
             await self._feed.stop()
@@ -303,7 +305,7 @@
         self.sync.connect(self.members, self._layouts.on_listed)
         self.events.connect(events.PEER_LOST, self._on_peer_lost)
         self.events.connect(
-            events.PEER_CONNECTED, lambda _: self._links.tell_all_again()
+            events.PEER_CONNECTED, lambda _: self._links.resend_all()
         )
         self.add_dump("daemon", self._describe)
         self.add_dump("config", lambda: dumps.of_config(self.store))
@@ -354,7 +356,7 @@
 
     # Cells.
 
-    def _update(self) -> None:
+    def _schedule_update(self) -> None:
         if self._update_task is None or self._update_task.done():
             loop = asyncio.get_running_loop()
             self._update_task = loop.create_task(self._update_cells())
--- a/martenjunction/errors.py
+++ b/martenjunction/errors.py
@@ -20,12 +20,12 @@
         self.file = file
         self.section = section
         self.key = key
-        place = file
+        location = file
         if section:
-            place += f" [{section}]"
+            location += f" [{section}]"
         if key:
-            place += f" {key}"
-        super().__init__(f"{place}: {message}" if place else message)
+            location += f" {key}"
+        super().__init__(f"{location}: {message}" if location else message)
 
 
 class PolicyError(MartenjunctionError):
@@ -136,16 +136,16 @@
     """The connection closed before the message was complete."""
 
 
-class ConnectionCutError(TransportError):
+class LocalCloseError(TransportError):
     """This daemon closed the connection.
 
     Attributes:
-        why: The reason, as written to the log.
+        reason: The reason, as written to the log.
     """
 
-    def __init__(self, why: str) -> None:
-        self.why = why
-        super().__init__(f"closed locally: {why}")
+    def __init__(self, reason: str) -> None:
+        self.reason = reason
+        super().__init__(f"closed locally: {reason}")
 
 
 class HttpSyntaxError(TransportError):
--- a/martenjunction/gateway.py
+++ b/martenjunction/gateway.py
@@ -51,7 +51,7 @@
 WATCH_INTERVAL_S = 0.1
 
 # Seconds between checks for idle connections.
-IDLE_INTERVAL_S = 0.5
+IDLE_CHECK_INTERVAL_S = 0.5
 
 # Safety margin, in seconds, subtracted from the time for which a removed key
 # may still be accepted.
@@ -71,7 +71,7 @@
 
 # Part of STOP_MARGIN_S, in seconds, for sending the final responses of the
 # requests that were ended.
-STOP_ANSWERS_S = 0.2
+FINAL_RESPONSES_TIMEOUT_S = 0.2
 
 # Minimum time, in seconds, for which a stopping box keeps serving, even when
 # idle, because clients may use a cached resolve response: three times
@@ -81,7 +81,7 @@
 # Minimum number of ready boxes in a client's own availability zone for a
 # resolve response to omit other zones. One box is not enough because it may
 # fail before the client resolves again.
-ENOUGH_NEAR = 2
+MIN_READY_IN_ZONE = 2
 
 METRICS_PATH = b"/metrics"
 DUMP_PATH = b"/dump"
@@ -107,7 +107,7 @@
         self.metrics = metrics.Metrics()
         self.log = decision_log.DecisionLog(self.timers.now)
         self._leaving_since: float | None = None
-        self._most_boxes = 1
+        self._max_member_count = 1
         self._exchanges: set[exchange.Exchange] = set()
         self._stopped = asyncio.Event()
         own = membership.Member(
@@ -141,7 +141,7 @@
             settings.retry_ratio,
             settings.retry_allowance,
             settings.retry_window_s,
-            lambda: self._most_boxes,
+            lambda: self._max_member_count,
         )
         self.store = store.StoreClient(settings.store)
         self.follower = follower.StoreFollower(
@@ -263,8 +263,8 @@
         self.follower.start()
         await self.peers.start()
         self.timers.subscribe("watch", WATCH_INTERVAL_S, self._watch)
-        self.timers.subscribe("idle", IDLE_INTERVAL_S, self._close_idle)
-        self.timers.on_held_up(self._note_held_up)
+        self.timers.subscribe("idle", IDLE_CHECK_INTERVAL_S, self._close_idle)
+        self.timers.on_stall(self._log_stall)
         self.timers.start()
         self.log.write("started", incarnation=self.members.own.incarnation)
 
@@ -284,26 +284,26 @@
         """
         if self.leaving:
             return
-        began = self.timers.now()
-        self._leaving_since = began
+        started_at = self.timers.now()
+        self._leaving_since = started_at
         self.log.write("stop-begins", held=len(self._exchanges))
         self.members.leaving(self._settings.box, self.members.own.incarnation)
         self.sync.announce_leaving()
         self.sync.announce()
-        last = began + self._settings.stop_s - STOP_MARGIN_S
+        deadline = started_at + self._settings.stop_s - STOP_MARGIN_S
         removal = asyncio.get_running_loop().create_task(
             self.follower.remove_own_entry()
         )
-        while self.timers.now() < last:
-            lingered = self.timers.now() - began > LINGER_S
+        while self.timers.now() < deadline:
+            lingered = self.timers.now() - started_at > LINGER_S
             if lingered and not self._exchanges:
                 # Requests that are still being read have no exchange yet, so
                 # each connection checks that it is idle before it closes.
                 self._callers.finish()
             if self._callers.ended:
                 break
-            left = max(0.0, last - self.timers.now())
-            await asyncio.sleep(min(WATCH_INTERVAL_S, left))
+            remaining = max(0.0, deadline - self.timers.now())
+            await asyncio.sleep(min(WATCH_INTERVAL_S, remaining))
         removal.cancel()
         self.log.write("stopped", cut_off=len(self._exchanges))
         await self.stop()
@@ -321,7 +321,7 @@
         for running in list(self._exchanges):
             running.stop(exchange.Ending.STOPPED)
         waits = [asyncio.ensure_future(s.wait_ended()) for s in servers]
-        await asyncio.wait(waits, timeout=STOP_ANSWERS_S)
+        await asyncio.wait(waits, timeout=FINAL_RESPONSES_TIMEOUT_S)
         for listening, wait in zip(servers, waits, strict=True):
             wait.cancel()
             listening.close_all()
@@ -397,7 +397,9 @@
             text = json.dumps(self.dump(), indent=1).encode()
             await connection.answer(200, [], text)
         elif request.path == LIFT_PATH and request.method == b"POST":
-            known = self.suspects.lift(_query(request).get(CONTENT_FIELD, ""))
+            known = self.suspects.lift(
+                _query_fields(request).get(CONTENT_FIELD, "")
+            )
             await connection.answer(200 if known else 404, [], b"")
         else:
             await connection.answer(404, [], b"")
@@ -410,7 +412,7 @@
         if request.path != headers.ENTRY_PATH:
             await connection.answer(404, [], b"")
             return
-        _, zone = documents.decode_entry_question(_query(request))
+        _, zone = documents.decode_entry_question(_query_fields(request))
         addresses = self._entries(zone)
         if not addresses:
             await connection.answer(503, [], b"")
@@ -430,9 +432,9 @@
         if not boxes:
             # No box is known to be ready; any live box is better than none.
             boxes = self.members.believed()
-        near = [member for member in boxes if member.zone == zone]
-        if len(near) >= ENOUGH_NEAR:
-            boxes = near
+        same_zone = [member for member in boxes if member.zone == zone]
+        if len(same_zone) >= MIN_READY_IN_ZONE:
+            boxes = same_zone
         self._rng.shuffle(boxes)
         boxes.sort(key=lambda member: member.zone != zone)
         return [member.callers for member in boxes[:MAX_ENTRIES]]
@@ -499,7 +501,9 @@
         return max(2, int(limit * pool.LIMIT_PART / boxes))
 
     def _on_members_changed(self) -> None:
-        self._most_boxes = max(self._most_boxes, len(self.members.members))
+        self._max_member_count = max(
+            self._max_member_count, len(self.members.members)
+        )
         if not self.peers.boxes():
             # Dial now rather than at the next heartbeat, up to 0.5 s later.
             # Until then this box would serve without the peers' records of
@@ -514,15 +518,15 @@
             if running.to_be_moved:
                 running.move()
 
-    def _note_held_up(self, late_s: float) -> None:
-        self.log.write("held-up", ms=round(late_s * 1000, 1))
+    def _log_stall(self, delay_s: float) -> None:
+        self.log.write("held-up", ms=round(delay_s * 1000, 1))
 
     def _close_idle(self) -> None:
         self.pool.keep_only(set(self.listed.entries))
         self.pool.expire()
 
 
-def _query(request: messages.Request) -> dict[str, str]:
+def _query_fields(request: messages.Request) -> dict[str, str]:
     """Returns the fields of a request's query string."""
     text = request.target.partition(b"?")[2].decode("latin-1")
     return dict(parse.parse_qsl(text))
--- a/martenjunction/http_headers.py
+++ b/martenjunction/http_headers.py
@@ -36,35 +36,37 @@
 )
 
 # Headers that the next hop sets itself or must not receive.
-_REQUEST_OWN = frozenset({"host", "content-length", "expect", "authorization"})
-_RESPONSE_OWN = frozenset({"date", "server", "content-length"})
+_REQUEST_DROPPED = frozenset(
+    {"host", "content-length", "expect", "authorization"}
+)
+_RESPONSE_DROPPED = frozenset({"date", "server", "content-length"})
 
 _DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?")
 
 Pairs = list[tuple[str, str]]
 
 
-def _named_by_connection(pairs: Iterable[tuple[str, str]]) -> set[str]:
-    named: set[str] = set()
+def _connection_options(pairs: Iterable[tuple[str, str]]) -> set[str]:
+    options: set[str] = set()
     for name, value in pairs:
         if name.lower() == "connection":
-            named.update(part.strip().lower() for part in value.split(","))
-    return named
+            options.update(part.strip().lower() for part in value.split(","))
+    return options
 
 
-def _pass_on(pairs: Pairs, own: frozenset[str]) -> Pairs:
-    dropped = HOP_BY_HOP | own | _named_by_connection(pairs)
+def _without(pairs: Pairs, excluded: frozenset[str]) -> Pairs:
+    dropped = HOP_BY_HOP | excluded | _connection_options(pairs)
     return [(n, v) for n, v in pairs if n.lower() not in dropped]
 
 
 def to_endpoint(pairs: Pairs) -> Pairs:
     """Returns the caller's headers to forward to an endpoint."""
-    return _pass_on(pairs, _REQUEST_OWN)
+    return _without(pairs, _REQUEST_DROPPED)
 
 
 def to_caller(pairs: Pairs) -> Pairs:
     """Returns the endpoint's headers to forward to a caller."""
-    return _pass_on(pairs, _RESPONSE_OWN)
+    return _without(pairs, _RESPONSE_DROPPED)
 
 
 def decimal_of(value: str) -> float | None:
--- a/martenjunction/http_server.py
+++ b/martenjunction/http_server.py
@@ -31,14 +31,14 @@
 
 # Seconds until a connection is checked again that has received bytes which
 # are not read yet.
-NEXT_LOOK = 0.1
+RECHECK_INTERVAL = 0.1
 
 # Seconds between checks for in-flight requests during a graceful shutdown.
-STOP_INTERVAL = 0.05
+DRAIN_CHECK_INTERVAL = 0.05
 
 # Seconds for which a shutdown waits for the first request on a new connection.
 # A client that had to connect sends it in its next packet.
-FIRST_REQUEST = 1.0
+FIRST_REQUEST_GRACE = 1.0
 
 # Kinds of log lines, the same as those of a box on the platform.
 CLOSED = "connection-closed"
@@ -64,18 +64,18 @@
         received bytes.
         """
         super().initialize(*args, **kwargs)
-        self._times: dict[Stage, float | None] = {
+        self._timeouts: dict[Stage, float | None] = {
             Stage.HEAD: self.conn_params.header_timeout,
             Stage.BODY: self.conn_params.body_timeout,
             Stage.ANSWER: None,
         }
         self.conn_params.header_timeout = None
         self.conn_params.body_timeout = None
-        self._open: dict[iostream.IOStream, _Connection] = {}
+        self._open_connections: dict[iostream.IOStream, _Connection] = {}
         if isinstance(self.request_callback, web.Application):
-            self.request_callback.add_transform(_TellLastAnswer)
+            self.request_callback.add_transform(_AnnounceClose)
 
-    def end_reuse(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Closes each connection after its next response.
 
         The response announces this in its `Connection` header.
@@ -84,62 +84,68 @@
 
     async def finish(self) -> None:
         """Drains in-flight requests, then stops; has no time limit."""
-        while any(held.in_request for held in self._open.values()):
-            await asyncio.sleep(STOP_INTERVAL)
+        while any(
+            connection.in_request
+            for connection in self._open_connections.values()
+        ):
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL)
         self.stop()
-        while self._open:
-            for held in list(self._open.values()):
-                if not held.in_request and not held.awaits_first:
-                    held.close()
-            await asyncio.sleep(STOP_INTERVAL)
-
-    def cut_off(self) -> None:
+        while self._open_connections:
+            for connection in list(self._open_connections.values()):
+                if (
+                    not connection.in_request
+                    and not connection.expects_first_request
+                ):
+                    connection.close()
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL)
+
+    def abort(self) -> None:
         """Stops listening and closes every connection at once."""
         self.stop()
-        for held in list(self._open.values()):
-            held.cut_off(closings.CloseReason.STOPPED)
+        for connection in list(self._open_connections.values()):
+            connection.abort(closings.CloseReason.STOPPED)
 
     def handle_stream(
         self, stream: iostream.IOStream, address: tuple[Any, ...]
     ) -> None:
         """Starts to serve a connection."""
-        self._open[stream] = _Connection(stream, self._times)
+        self._open_connections[stream] = _Connection(stream, self._timeouts)
         super().handle_stream(stream, address)
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
         """Starts to wait for the next request on a connection."""
-        made = super().start_request(server_conn, request_conn)
-        held = self._open[_stream_of(server_conn)]
-        held.enter(Stage.HEAD)
-        return _Noted(made, held)
+        delegate = super().start_request(server_conn, request_conn)
+        connection = self._open_connections[_stream_of(server_conn)]
+        connection.enter(Stage.HEAD)
+        return _StageTracker(delegate, connection)
 
     def on_close(self, server_conn: object) -> None:
         """Removes a closed connection."""
         super().on_close(server_conn)
-        self._open.pop(_stream_of(server_conn)).forget()
+        self._open_connections.pop(_stream_of(server_conn)).cancel_timer()
 
 
 class _Connection:
     """Tracks whether a request is in flight on a connection."""
 
     def __init__(
-        self, stream: iostream.IOStream, times: dict[Stage, float | None]
+        self, stream: iostream.IOStream, timeouts: dict[Stage, float | None]
     ) -> None:
         """Initializes the state of a newly accepted connection.
 
         Args:
             stream: The connection's stream.
-            times: The timeout of each stage, in seconds; None for no timeout.
+            timeouts: The timeout of each stage in seconds; None for none.
         """
         self._stream = stream
-        self._times = times
+        self._timeouts = timeouts
         self._loop = asyncio.get_running_loop()
         self._accepted = self._loop.time()
         self._stage = Stage.HEAD
         self._used = False
-        self._late = False
+        self._head_timeout_set = False
         self._timer: asyncio.TimerHandle | None = None
         self.enter(Stage.HEAD)
 
@@ -147,42 +153,44 @@
     def in_request(self) -> bool:
         """Whether any byte of a request arrived since the last response."""
         return (
-            self._stage is not Stage.HEAD or self._arriving or self._head_began
+            self._stage is not Stage.HEAD
+            or self._has_unread_bytes
+            or self._head_started
         )
 
     @property
-    def awaits_first(self) -> bool:
+    def expects_first_request(self) -> bool:
         """Whether the first request is likely to be on its way."""
         age = self._loop.time() - self._accepted
-        return not self._used and age < FIRST_REQUEST
+        return not self._used and age < FIRST_REQUEST_GRACE
 
     def enter(self, stage: Stage) -> None:
         """Enters a stage and starts its timeout."""
         self._stage = stage
-        self._late = False
+        self._head_timeout_set = False
         self._used = self._used or stage is not Stage.HEAD
-        self._set_timer(self._times[stage])
+        self._set_timer(self._timeouts[stage])
 
     def close(self) -> None:
         """Closes a connection without an in-flight request."""
         self._stream.close()
 
-    def cut_off(self, why: closings.CloseReason) -> None:
+    def abort(self, reason: closings.CloseReason) -> None:
         """Closes the connection, even if a request is in flight.
 
         Logs only a request whose head is incomplete. For any other, the
         handler writes the log line because it knows the request id.
         """
         if self._stage is Stage.HEAD and self.in_request:
-            eliot.log_message(CLOSED, request_id=None, why=why)
-        self._stream.close(errors.ConnectionCutError(why))
+            eliot.log_message(CLOSED, request_id=None, why=reason)
+        self._stream.close(errors.LocalCloseError(reason))
 
-    def forget(self) -> None:
+    def cancel_timer(self) -> None:
         """Cancels the timer."""
         self._set_timer(None)
 
     @property
-    def _arriving(self) -> bool:
+    def _has_unread_bytes(self) -> bool:
         """Whether received bytes are unread or the reader was woken for some.
 
         After an event loop stall that outlasts a timeout, a request may have
@@ -193,7 +201,7 @@
         return not self._stream.reading() or waiting is peeks.Waiting.BYTES
 
     @property
-    def _head_began(self) -> bool:
+    def _head_started(self) -> bool:
         # tornado has no public API for this.
         return self._stream._read_buffer_size > 0
 
@@ -202,56 +210,56 @@
             self._timer.cancel()
             self._timer = None
         if seconds is not None:
-            self._timer = self._loop.call_later(seconds, self._on_time_up)
+            self._timer = self._loop.call_later(seconds, self._on_timeout)
 
-    def _on_time_up(self) -> None:
-        if self._arriving:
-            self._set_timer(NEXT_LOOK)
+    def _on_timeout(self) -> None:
+        if self._has_unread_bytes:
+            self._set_timer(RECHECK_INTERVAL)
         elif not self.in_request:
             self.close()
-        elif self._stage is Stage.HEAD and not self._late:
-            self._late = True
+        elif self._stage is Stage.HEAD and not self._head_timeout_set:
+            self._head_timeout_set = True
             self._set_timer(HEAD_TIMEOUT)
         else:
-            self._refuse()
+            self._reject()
 
-    def _refuse(self) -> None:
+    def _reject(self) -> None:
         """Rejects a request that was not received in full, so it never ran."""
         if not self._stream.writing():
-            self._stream.write(_TOO_SLOW)
-        self.cut_off(_SLOW[self._stage])
+            self._stream.write(_TIMEOUT_RESPONSE)
+        self.abort(_TIMEOUT_REASONS[self._stage])
 
 
-class _Noted(httputil.HTTPMessageDelegate):
+class _StageTracker(httputil.HTTPMessageDelegate):
     """Updates a connection's stage as its request is received."""
 
     def __init__(
-        self, inner: httputil.HTTPMessageDelegate, held: _Connection
+        self, delegate: httputil.HTTPMessageDelegate, connection: _Connection
     ) -> None:
-        self._inner = inner
-        self._held = held
+        self._delegate = delegate
+        self._connection = connection
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        self._held.enter(Stage.BODY)
-        return self._inner.headers_received(start_line, headers)
+        self._connection.enter(Stage.BODY)
+        return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        return self._inner.data_received(chunk)
+        return self._delegate.data_received(chunk)
 
     def finish(self) -> None:
-        self._held.enter(Stage.ANSWER)
-        self._inner.finish()
+        self._connection.enter(Stage.ANSWER)
+        self._delegate.finish()
 
     def on_connection_close(self) -> None:
-        self._inner.on_connection_close()
+        self._delegate.on_connection_close()
 
 
-class _TellLastAnswer(web.OutputTransform):
-    """Adds `Connection: close` to each response after `end_reuse`."""
+class _AnnounceClose(web.OutputTransform):
+    """Adds `Connection: close` to each response after `disable_keep_alive`."""
 
     def __init__(self, request: httputil.HTTPServerRequest) -> None:
         connection = cast(http1connection.HTTP1Connection, request.connection)
@@ -274,17 +282,17 @@
 ) -> closings.CloseReason:
     """Returns the reason for which a request's connection was closed."""
     error = cast(http1connection.HTTP1Connection, connection).stream.error
-    if isinstance(error, errors.ConnectionCutError):
-        return closings.CloseReason(error.why)
+    if isinstance(error, errors.LocalCloseError):
+        return closings.CloseReason(error.reason)
     return closings.CloseReason.CLIENT
 
 
 def cut_off(
-    connection: httputil.HTTPConnection | None, why: closings.CloseReason
+    connection: httputil.HTTPConnection | None, reason: closings.CloseReason
 ) -> None:
     """Closes a request's connection in the middle of its response."""
     stream = cast(http1connection.HTTP1Connection, connection).stream
-    stream.close(errors.ConnectionCutError(why))
+    stream.close(errors.LocalCloseError(reason))
 
 
 def is_closed(connection: httputil.HTTPConnection | None) -> bool:
@@ -296,12 +304,12 @@
     return cast(http1connection.HTTP1ServerConnection, server_conn).stream
 
 
-_SLOW = {
+_TIMEOUT_REASONS = {
     Stage.HEAD: closings.CloseReason.SLOW_HEAD,
     Stage.BODY: closings.CloseReason.SLOW_BODY,
 }
 
-_TOO_SLOW = (
+_TIMEOUT_RESPONSE = (
     "HTTP/1.1 408 Request Timeout\r\n"
     f"{http_headers.OUTCOME}: {outcomes.Outcome.NOT_RUN}\r\n"
     "Content-Length: 0\r\nConnection: close\r\n\r\n"
--- a/martenjunction/layouts.py
+++ b/martenjunction/layouts.py
@@ -14,25 +14,25 @@
     def __init__(
         self,
         members: membership.Membership,
-        held: store.ConfigStore,
+        config_store: store.ConfigStore,
         cells: host.CellHost,
-        asked: broker.Broker,
+        cell_broker: broker.Broker,
     ) -> None:
         """Initializes the keeper without any endpoints.
 
         Args:
             members: The membership, updated with the listed daemons.
-            held: The active configuration.
+            config_store: The active configuration.
             cells: The cells that this daemon owns.
-            asked: The broker that places requests with cells.
+            cell_broker: The broker that places requests with cells.
         """
         self._members = members
-        self._store = held
+        self._store = config_store
         self._cells = cells
-        self._broker = asked
+        self._broker = cell_broker
         self._layout = directory.Layout()
         self._infos: directory.Cells = {}
-        self._laid_out: tuple[object, object] = ({}, {})
+        self._applied_tables: tuple[object, object] = ({}, {})
         self._endpoint_states: dict[str, model.BoxState] = {}
 
     def on_listed(self, boxes: list[model.ListedBox]) -> None:
@@ -42,12 +42,12 @@
                 self._endpoint_states[box.name] = box.state
             else:
                 self._list_daemon(box)
-        self._change()
+        self._apply_layout()
 
     def on_config_changed(self) -> None:
         """Applies the active configuration."""
-        if self._is_old():
-            self._change()
+        if self._is_outdated():
+            self._apply_layout()
 
     def _list_daemon(self, box: model.ListedBox) -> None:
         self._members.listed(
@@ -58,10 +58,10 @@
             leaving=box.state is model.BoxState.LEAVING,
         )
 
-    def _change(self) -> None:
+    def _apply_layout(self) -> None:
         config = self._store.config
-        if self._is_old():
-            self._laid_out = (config.service, config.endpoint)
+        if self._is_outdated():
+            self._applied_tables = (config.service, config.endpoint)
             self._infos = self._layout.update(config)
         leaving = frozenset(
             name
@@ -71,10 +71,10 @@
         self._cells.set_layout(self._infos, config.endpoint, leaving)
         self._broker.set_cells(self._infos)
 
-    def _is_old(self) -> bool:
+    def _is_outdated(self) -> bool:
         # The store keeps the same object for an unchanged table.
         config = self._store.config
-        services, endpoints = self._laid_out
+        services, endpoints = self._applied_tables
         return config.service is not services or (
             config.endpoint is not endpoints
         )
--- a/martenjunction/listeners.py
+++ b/martenjunction/listeners.py
@@ -29,18 +29,18 @@
         self,
         settings: daemon_settings.DaemonSettings,
         callers: caller_service.CallerService,
-        operated: operator_handlers.Operated,
+        daemon: operator_handlers.Operated,
     ) -> None:
         """Initializes the servers, which do not listen yet.
 
         Args:
             settings: The daemon's settings.
             callers: The service that handles callers' requests.
-            operated: The daemon that handles operators' requests.
+            daemon: The daemon that handles operators' requests.
         """
         self._settings = settings
         self._callers = callers
-        self._operated = operated
+        self._daemon = daemon
         self._servers: list[http_server.Server] = []
 
     @property
@@ -53,37 +53,35 @@
             for listening in server._sockets.values()
         ]
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Starts to listen."""
         settings = self._settings
         self._listen(
-            _callers_side(self._callers),
+            _caller_application(self._callers),
             settings.listen_callers or settings.callers,
         )
         self._listen(
-            operator_handlers.application(
-                self._operated, settings.operator_key
-            ),
+            operator_handlers.application(self._daemon, settings.operator_key),
             settings.operators,
         )
 
-    def end_reuse(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Closes each connection after its next response.
 
         The response announces this in its `Connection` header.
         """
         for server in self._servers:
-            server.end_reuse()
+            server.disable_keep_alive()
 
     async def finish(self) -> None:
         """Drains in-flight requests, then stops; has no time limit."""
         for server in self._servers:
             await server.finish()
 
-    async def cut_off(self) -> None:
+    async def abort(self) -> None:
         """Closes all connections at once and aborts in-flight requests."""
         for server in self._servers:
-            server.cut_off()
+            server.abort()
         for server in self._servers:
             await server.close_all_connections()
 
@@ -100,7 +98,9 @@
         self._servers.append(server)
 
 
-def _callers_side(callers: caller_service.CallerService) -> web.Application:
+def _caller_application(
+    callers: caller_service.CallerService,
+) -> web.Application:
     arguments: dict[str, Any] = {"callers": callers}
     return web.Application(
         [
--- a/martenjunction/logs.py
+++ b/martenjunction/logs.py
@@ -71,7 +71,7 @@
     """
 
     # Maximum number of buffered bytes.
-    MAX_WAITING_BYTES = 256 * 1024
+    MAX_BUFFERED_BYTES = 256 * 1024
 
     def __init__(self, descriptor: int) -> None:
         """Initializes the output.
@@ -80,7 +80,7 @@
             descriptor: The file descriptor, which is set to non-blocking.
         """
         self._descriptor = descriptor
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self._dropped = 0
         os.set_blocking(descriptor, False)
 
@@ -94,19 +94,19 @@
         for field in ("task_uuid", "task_level"):
             message.pop(field, None)
         line = json.dumps(message, default=str).encode() + b"\n"
-        if len(self._waiting) + len(line) > self.MAX_WAITING_BYTES:
+        if len(self._buffer) + len(line) > self.MAX_BUFFERED_BYTES:
             self._dropped += 1
         else:
-            self._waiting += line
+            self._buffer += line
         self._flush()
 
     def _flush(self) -> None:
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except OSError:
             # The reader is too slow or gone; the lines stay in the buffer.
             return
-        del self._waiting[:written]
+        del self._buffer[:written]
 
 
 def start_bounded(box: str) -> BoundedOutput:
--- a/martenjunction/planned_stop.py
+++ b/martenjunction/planned_stop.py
@@ -13,7 +13,7 @@
 # Seconds for sending the final responses of requests that were ended at the
 # time limit of a graceful shutdown. A request that waits for its claim may need
 # the whole claim timeout.
-FINAL_ANSWERS = keeper.CLAIM_TIMEOUT + 1.0
+FINAL_RESPONSES_TIMEOUT = keeper.CLAIM_TIMEOUT + 1.0
 
 
 async def end_service(
@@ -28,7 +28,7 @@
         listening: The daemon's servers.
         callers: The service that holds the requests.
     """
-    listening.end_reuse()
+    listening.disable_keep_alive()
     try:
         async with asyncio.timeout(settings.drain_limit):
             # Callers may cache an entry response for this long.
@@ -53,7 +53,7 @@
     logger.warning("graceful shutdown exceeded its time limit")
     callers.stop_all()
     try:
-        async with asyncio.timeout(FINAL_ANSWERS):
+        async with asyncio.timeout(FINAL_RESPONSES_TIMEOUT):
             await _finish_requests(listening, callers)
     except TimeoutError:
         logger.warning("final responses to some callers timed out")
--- a/martenjunction/rankings.py
+++ b/martenjunction/rankings.py
@@ -26,7 +26,7 @@
         members: membership.Membership,
         peers: hub.PeerHub,
         rng: random.Random,
-        held: Callable[[], float],
+        utilization: Callable[[], float],
     ) -> None:
         """Initializes the rankings, which follow the membership.
 
@@ -35,7 +35,7 @@
             members: The members of the fleet.
             peers: The connections to other boxes.
             rng: Breaks ties between entry addresses.
-            held: Returns this daemon's utilization as a fraction of the
+            utilization: Returns this daemon's utilization as a fraction of the
                 requests that it may hold.
         """
         self._box = settings.box
@@ -43,26 +43,26 @@
         self._members = members
         self._peers = peers
         self._rng = rng
-        self._held = held
+        self._utilization = utilization
 
     @property
     def is_watcher(self) -> bool:
         """Whether this box watches the platform for its zone."""
-        near = [
+        same_zone = [
             member.box
             for member in self._reachable()
             if member.zone == self._zone
         ]
-        ranking = rendezvous.ranked(near, f"watch/{self._zone}")
+        ranking = rendezvous.ranked(same_zone, f"watch/{self._zone}")
         return self._box in ranking[:WATCHERS_PER_ZONE]
 
     def owners(self, cell: directory.CellInfo) -> list[str]:
         """Returns the boxes that may own a cell, best first."""
-        places = [
+        locations = [
             directory.BoxPlace(member.box, member.zone)
             for member in self._reachable()
         ]
-        return directory.owner_ranking(cell, places)
+        return directory.owner_ranking(cell, locations)
 
     def shard_owner(self, key: str) -> str:
         """Returns the box that owns a shard of claims."""
@@ -75,7 +75,7 @@
             self._reachable(),
             key=lambda member: (
                 directory.distance(self._zone, member.zone),
-                round(self._held_of(member), 1),
+                round(self._utilization_of(member), 1),
                 self._rng.random(),
             ),
         )
@@ -91,5 +91,5 @@
             if member.box == self._box or self._peers.reachable(member.box)
         ]
 
-    def _held_of(self, member: membership.Member) -> float:
-        return self._held() if member.box == self._box else member.held
+    def _utilization_of(self, member: membership.Member) -> float:
+        return self._utilization() if member.box == self._box else member.held
--- a/martenjunction/timers.py
+++ b/martenjunction/timers.py
@@ -56,9 +56,9 @@
         self._subscriptions: list[Subscription] = []
         self._task: asyncio.Task[None] | None = None
         self._worst_delay = 0.0
-        self._held_up: Callable[[float], None] | None = None
-        self._wake = math.inf
-        self._held_up_s = 0.0
+        self._on_stall: Callable[[float], None] | None = None
+        self._wake_at = math.inf
+        self._stalled_s = 0.0
 
     @property
     def worst_delay(self) -> float:
@@ -80,7 +80,7 @@
         would make all of them appear silent at once.
         """
         now = self.now()
-        return now - self._held_up_s - self._late(now)
+        return now - self._stalled_s - self._current_stall_s(now)
 
     def subscribe(self, name: str, interval: float, tick: Tick) -> Subscription:
         """Calls `tick` every `interval` seconds.
@@ -98,13 +98,13 @@
         self._subscriptions.append(subscription)
         return subscription
 
-    def on_held_up(self, callback: Callable[[float], None]) -> None:
+    def on_stall(self, callback: Callable[[float], None]) -> None:
         """Sets the callback for event loop stalls.
 
         Args:
             callback: Called with the delay in seconds.
         """
-        self._held_up = callback
+        self._on_stall = callback
 
     def fire(self) -> None:
         """Calls every subscriber that is due."""
@@ -118,17 +118,17 @@
 
     def rest_until(self, wake: float) -> None:
         """Records the time at which the next call is due."""
-        self._wake = wake
+        self._wake_at = wake
 
     def wake(self) -> None:
         """Measures the event loop delay and calls due subscribers."""
         now = self.now()
-        late = now - self._wake
-        self._worst_delay = max(self._worst_delay * 0.999, late)
-        self._held_up_s += self._late(now)
-        self._wake = math.inf
-        if late > HELD_UP_S and self._held_up is not None:
-            self._held_up(late)
+        delay = now - self._wake_at
+        self._worst_delay = max(self._worst_delay * 0.999, delay)
+        self._stalled_s += self._current_stall_s(now)
+        self._wake_at = math.inf
+        if delay > HELD_UP_S and self._on_stall is not None:
+            self._on_stall(delay)
         self.fire()
 
     def start(self) -> None:
@@ -140,7 +140,7 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-            self._wake = math.inf
+            self._wake_at = math.inf
 
     async def _run(self) -> None:
         while True:
@@ -149,9 +149,9 @@
             await asyncio.sleep(max(self.RESOLUTION, wake - self.now()))
             self.wake()
 
-    def _late(self, now: float) -> float:
+    def _current_stall_s(self, now: float) -> float:
         """Returns the duration of the current stall in seconds."""
-        return max(0.0, now - self._wake - HELD_UP_S)
+        return max(0.0, now - self._wake_at - HELD_UP_S)
 
     def _next_due(self) -> float:
         horizon = self.now() + 1.0
--- a/martenjunction/wiring.py
+++ b/martenjunction/wiring.py
@@ -41,21 +41,21 @@
         """
         self._box = box
         self._peers = peers
-        self._gate = summaries.SummaryGate()
+        self._throttle = summaries.SummaryGate()
 
-    def connect(self, cells: host.CellHost, asked: broker.Broker) -> None:
+    def connect(self, cells: host.CellHost, cell_broker: broker.Broker) -> None:
         """Subscribes the components to their messages.
 
         Args:
             cells: The cells that this daemon owns.
-            asked: The broker that places this daemon's requests with cells.
+            cell_broker: The broker that places this daemon's requests.
         """
         self._cells = cells
-        self._broker = asked
+        self._broker = cell_broker
         for to_owner in TO_OWNER:
             self._peers.subscribe(to_owner, cells.receive)
         for to_entry in TO_ENTRY:
-            self._peers.subscribe(to_entry, asked.receive)
+            self._peers.subscribe(to_entry, cell_broker.receive)
 
     def to_entry(self, box: str, message: cell_messages.FromOwner) -> None:
         """Sends a message from the owner of a cell to an entry daemon."""
@@ -84,12 +84,12 @@
         current = self._cells.summaries()
         for summary in current:
             self._broker.receive(self._box, summary)
-        for summary in self._gate.pass_on(current, now):
+        for summary in self._throttle.pass_on(current, now):
             self._peers.broadcast(summary)
 
-    def tell_all_again(self) -> None:
+    def resend_all(self) -> None:
         """Resets the throttle so that a new peer gets all summaries."""
-        self._gate.forget()
+        self._throttle.forget()
 
 
 def connect_claims(peers: hub.PeerHub, claims: keeper.ClaimKeeper) -> None:
