--- a/martenjunction/operators/__init__.py
+++ b/martenjunction/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that is said to operators."""
+"""The operator interface of a daemon."""
--- a/martenjunction/operators/dumps.py
+++ b/martenjunction/operators/dumps.py
@@ -1,4 +1,4 @@
-"""The state of a daemon's parts in a form that JSON can hold."""
+"""State of a daemon's components as JSON-serializable data."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def of_cells(cells: host.CellHost) -> dict[str, Any]:
-    """Returns the cells that run here."""
+    """Returns the cells that run on this daemon."""
     return {
         name: {
             "waiting": task.decider.waiting,
@@ -35,7 +35,7 @@
 
 
 def of_endpoint(endpoint: placement.Endpoint) -> dict[str, Any]:
-    """Returns one endpoint as its cell sees it."""
+    """Returns the state of an endpoint in its cell."""
     return {
         "state": str(endpoint.health.state),
         "slots": endpoint.slots,
@@ -48,7 +48,7 @@
 
 
 def of_broker(placed: broker.Broker) -> dict[str, Any]:
-    """Returns this box's requests with cells."""
+    """Returns the state of this box's requests to cells."""
     states: dict[str, int] = {}
     for ticket in placed.tickets.values():
         states[ticket.state.value] = states.get(ticket.state.value, 0) + 1
@@ -62,7 +62,7 @@
 
 
 def of_members(members: membership.Membership) -> dict[str, Any]:
-    """Returns who there is, as this daemon believes."""
+    """Returns the members that this daemon knows and whether they are live."""
     believed = {member.box for member in members.believed()}
     return {
         member.box: {
@@ -77,7 +77,7 @@
 
 
 def of_peers(peers: hub.PeerHub) -> dict[str, Any]:
-    """Returns connections and what went over them."""
+    """Returns peer connections and their traffic."""
     traffic = peers.traffic()
     return {
         "connected": sorted(peers.boxes()),
@@ -91,7 +91,7 @@
 
 
 def of_config(held: store.ConfigStore) -> dict[str, Any]:
-    """Returns which configuration is in force."""
+    """Returns the state of the active configuration."""
     return {
         "revision": held.revision,
         "digest": f"{held.digest:016x}",
@@ -101,7 +101,7 @@
 
 
 def of_policies(classifier: classing.Classifier) -> dict[str, Any]:
-    """Returns how the policies fare."""
+    """Returns call and failure counts of the policies."""
     programs = {
         program.name: {
             "calls": program.calls,
@@ -114,7 +114,7 @@
 
 
 def of_claims(claims: keeper.ClaimKeeper) -> dict[str, Any]:
-    """Returns the claim shards that were owned here."""
+    """Returns the claim shards that this daemon has owned."""
     return {
         str(number): {"writes": shard.writes, "conflicts": shard.conflicts}
         for number, shard in claims.owned.items()
@@ -126,7 +126,7 @@
     platform: object_client.ObjectClient,
     watcher: bool,
 ) -> dict[str, Any]:
-    """Returns what this daemon asks of the platform, and how it answers."""
+    """Returns the state of this daemon's platform feed and API calls."""
     return {
         "configured": True,
         "watcher": watcher,
--- a/martenjunction/operators/explain.py
+++ b/martenjunction/operators/explain.py
@@ -1,4 +1,4 @@
-"""What a described request would get, and why."""
+"""Explains how a described request would be routed."""
 
 import dataclasses
 from typing import Any
@@ -16,12 +16,17 @@
     config: fleet.FleetConfig,
     callers: caller_service.CallerService,
 ) -> dict[str, Any]:
-    """Returns what a described request would get, and why.
+    """Returns how a described request would be routed, and why.
 
     Args:
-        question: The request: workspace, model, kind, tokens, labels.
-        config: The configuration in force.
-        callers: Gives requests their classes.
+        question: Description of the request: workspace, model, kind, tokens
+            and labels.
+        config: The active configuration.
+        callers: The service that classifies requests.
+
+    Returns:
+        Class, zones, service, endpoints and reasons; or only an error, if the
+        request would be refused.
     """
     name = str(question.get("workspace", ""))
     workspace = config.workspace.get(name)
--- a/martenjunction/operators/handlers.py
+++ b/martenjunction/operators/handlers.py
@@ -1,4 +1,4 @@
-"""The operators' side of a daemon: dump, metrics, explain and drain."""
+"""HTTP handlers of the operator interface of a daemon."""
 
 import asyncio
 import hmac
@@ -12,41 +12,41 @@
 
 
 class Operated(Protocol):
-    """What the operators' side needs of a daemon."""
+    """Interface of a daemon that the operator handlers use."""
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state of every part."""
+        """Returns the state of every component."""
 
     def metrics_text(self) -> bytes:
-        """Returns the metrics in the Prometheus text form."""
+        """Returns the metrics in the Prometheus text format."""
 
     def config_status(self, keys: list[str]) -> dict[str, Any]:
-        """Returns which configuration is in force."""
+        """Returns the state of the active configuration."""
 
     def explain(self, question: dict[str, Any]) -> dict[str, Any]:
-        """Returns what a described request would get, and why."""
+        """Returns how a described request would be routed, and why."""
 
     async def drain(self) -> None:
-        """Stops the daemon as planned."""
+        """Shuts the daemon down gracefully."""
 
 
 class OperatorHandler(web.RequestHandler):
-    """A request of an operator."""
+    """Base class of the handlers; authenticates the operator."""
 
     def initialize(self, daemon: Operated, key: str) -> None:
-        """Takes the daemon and the key that operators must show."""
+        """Sets the daemon and the key that operators must present."""
         self._daemon = daemon
         self._key = key
 
     def prepare(self) -> None:
-        """Checks the key."""
+        """Rejects requests without the operators' key."""
         shown = self.request.headers.get("Authorization", "")
         wanted = BEARER + self._key
         if not hmac.compare_digest(shown.encode(), wanted.encode()):
             raise web.HTTPError(401)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answers errors as JSON."""
+        """Writes an error response as JSON."""
         self.write({"error": {"code": status_code, "message": self._reason}})
         self.finish()
 
@@ -55,7 +55,7 @@
     """`GET /operator/dump`."""
 
     def get(self) -> None:
-        """Answers with the state of every part."""
+        """Responds with the state of every component."""
         self.write(json.dumps(self._daemon.dump(), default=str))
         self.set_header("Content-Type", "application/json")
 
@@ -64,7 +64,7 @@
     """`GET /operator/metrics`."""
 
     def get(self) -> None:
-        """Answers with the metrics."""
+        """Responds with the metrics."""
         self.set_header("Content-Type", "text/plain; version=0.0.4")
         self.write(self._daemon.metrics_text())
 
@@ -73,7 +73,7 @@
     """`GET /operator/config`."""
 
     def get(self) -> None:
-        """Answers with the configuration in force, by version."""
+        """Responds with the state and versions of the configuration."""
         self.write(self._daemon.config_status(self.get_arguments("key")))
 
 
@@ -81,7 +81,7 @@
     """`POST /operator/explain`."""
 
     def post(self) -> None:
-        """Answers what a described request would get."""
+        """Responds with how a described request would be routed."""
         try:
             question = json.loads(self.request.body)
         except ValueError as error:
@@ -93,14 +93,14 @@
     """`POST /operator/drain`."""
 
     def post(self) -> None:
-        """Begins a planned stop."""
+        """Starts a graceful shutdown."""
         self._drain = asyncio.ensure_future(self._daemon.drain())
         self.set_status(202)
         self.write({"draining": True})
 
 
 def application(daemon: Operated, key: str) -> web.Application:
-    """Returns the web application of the operators' side."""
+    """Returns the web application of the operator interface."""
     arguments = {"daemon": daemon, "key": key}
     return web.Application(
         [
