--- a/martenjunction/listeners.py
+++ b/martenjunction/listeners.py
@@ -29,7 +29,7 @@
         self,
         settings: daemon_settings.DaemonSettings,
         callers: caller_service.CallerService,
-        daemon: operator_handlers.Operated,
+        daemon: operator_handlers.OperatedDaemon,
     ) -> None:
         """Initializes the servers, which do not listen yet.
 
--- a/martenjunction/operators/dumps.py
+++ b/martenjunction/operators/dumps.py
@@ -47,27 +47,27 @@
     }
 
 
-def of_broker(placed: broker.Broker) -> dict[str, Any]:
+def of_broker(cell_broker: broker.Broker) -> dict[str, Any]:
     """Returns the state of this box's requests to cells."""
     states: dict[str, int] = {}
-    for ticket in placed.tickets.values():
+    for ticket in cell_broker.tickets.values():
         states[ticket.state.value] = states.get(ticket.state.value, 0) + 1
     return {
-        "asked": placed.counts.asked,
-        "moved": placed.counts.moved,
-        "returned": placed.counts.returned,
+        "asked": cell_broker.counts.asked,
+        "moved": cell_broker.counts.moved,
+        "returned": cell_broker.counts.returned,
         "tickets": states,
-        "owners": placed.owners_now,
+        "owners": cell_broker.owners_now,
     }
 
 
 def of_members(members: membership.Membership) -> dict[str, Any]:
     """Returns the members that this daemon knows and whether they are live."""
-    believed = {member.box for member in members.believed()}
+    live = {member.box for member in members.believed()}
     return {
         member.box: {
             "zone": member.zone,
-            "believed": member.box in believed,
+            "believed": member.box in live,
             "listed": member.listed,
             "leaving": member.leaving_since is not None,
             "incarnation": member.incarnation,
@@ -90,13 +90,13 @@
     }
 
 
-def of_config(held: store.ConfigStore) -> dict[str, Any]:
+def of_config(config_store: store.ConfigStore) -> dict[str, Any]:
     """Returns the state of the active configuration."""
     return {
-        "revision": held.revision,
-        "digest": f"{held.digest:016x}",
-        "objects": len(held),
-        "rejected": held.rejected,
+        "revision": config_store.revision,
+        "digest": f"{config_store.digest:016x}",
+        "objects": len(config_store),
+        "rejected": config_store.rejected,
     }
 
 
@@ -122,7 +122,7 @@
 
 
 def of_platform(
-    followed: feed.PlatformFeed,
+    platform_feed: feed.PlatformFeed,
     platform: object_client.ObjectClient,
     watcher: bool,
 ) -> dict[str, Any]:
@@ -130,7 +130,7 @@
     return {
         "configured": True,
         "watcher": watcher,
-        "answered_ago_s": followed.answered_ago,
-        "failures": followed.failures,
+        "answered_ago_s": platform_feed.answered_ago,
+        "failures": platform_feed.failures,
         "calls": platform.calls,
     }
--- a/martenjunction/operators/explain.py
+++ b/martenjunction/operators/explain.py
@@ -34,10 +34,10 @@
         return {"error": f"there is no workspace {name!r}"}
     facts = _facts(name, question)
     try:
-        classed = callers.classify(workspace, facts)
+        result = callers.classify(workspace, facts)
     except errors.CallerError as error:
         return {"error": str(error)}
-    return _answer(classed, facts.model, config)
+    return _answer(result, facts.model, config)
 
 
 def _facts(workspace: str, question: dict[str, Any]) -> policies.RequestFacts:
@@ -53,14 +53,14 @@
 
 
 def _answer(
-    classed: classing.Classed, model: str, config: fleet.FleetConfig
+    result: classing.Classed, model: str, config: fleet.FleetConfig
 ) -> dict[str, Any]:
     service = config.service_for_model(model) or config.service.get(model)
     endpoints = config.endpoints_of(service.name) if service else []
     return {
-        "class": dataclasses.asdict(classed.service_class),
-        "reasons": list(classed.reasons),
-        "zones": list(classed.zones),
+        "class": dataclasses.asdict(result.service_class),
+        "reasons": list(result.reasons),
+        "zones": list(result.zones),
         "service": service.name if service else None,
         "endpoints": [endpoint.name for endpoint in endpoints],
     }
--- a/martenjunction/operators/handlers.py
+++ b/martenjunction/operators/handlers.py
@@ -8,10 +8,10 @@
 
 from tornado import web
 
-BEARER = "Bearer "
+BEARER_PREFIX = "Bearer "
 
 
-class Operated(Protocol):
+class OperatedDaemon(Protocol):
     """Interface of a daemon that the operator handlers use."""
 
     def dump(self) -> dict[str, Any]:
@@ -33,16 +33,16 @@
 class OperatorHandler(web.RequestHandler):
     """Base class of the handlers; authenticates the operator."""
 
-    def initialize(self, daemon: Operated, key: str) -> None:
+    def initialize(self, daemon: OperatedDaemon, key: str) -> None:
         """Sets the daemon and the key that operators must present."""
         self._daemon = daemon
         self._key = key
 
     def prepare(self) -> None:
         """Rejects requests without the operators' key."""
-        shown = self.request.headers.get("Authorization", "")
-        wanted = BEARER + self._key
-        if not hmac.compare_digest(shown.encode(), wanted.encode()):
+        presented = self.request.headers.get("Authorization", "")
+        expected = BEARER_PREFIX + self._key
+        if not hmac.compare_digest(presented.encode(), expected.encode()):
             raise web.HTTPError(401)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
@@ -99,7 +99,7 @@
         self.write({"draining": True})
 
 
-def application(daemon: Operated, key: str) -> web.Application:
+def application(daemon: OperatedDaemon, key: str) -> web.Application:
     """Returns the web application of the operator interface."""
     arguments = {"daemon": daemon, "key": key}
     return web.Application(
