--- a/martenjunction/cmd/box.py
+++ b/martenjunction/cmd/box.py
@@ -1,6 +1,6 @@
-"""The thin daemon of a box on the platform.
+"""Entry point of the daemon of a box on the platform.
 
-It imports only what the daemon needs: a box is restarted often.
+It imports only what the daemon needs because a box is restarted often.
 """
 
 import asyncio
@@ -16,15 +16,15 @@
 
 
 async def serve(path: str) -> None:
-    """Serves until a planned stop has ended.
+    """Serves until a graceful shutdown has completed.
 
-    SIGTERM begins a planned stop, SIGHUP reads the settings again.
+    SIGTERM starts a graceful shutdown; SIGHUP reloads the settings.
 
     Args:
         path: The settings file.
 
     Raises:
-        SettingsError: If the settings cannot be used.
+        SettingsError: If the settings are invalid.
     """
     settings = box_settings.read(path)
     logs.start_bounded(settings.box)
--- a/martenjunction/cmd/check.py
+++ b/martenjunction/cmd/check.py
@@ -1,4 +1,4 @@
-"""`martenjunction check` and `explain`: look before anything is applied."""
+"""`martenjunction check` and `explain`: work on files, without a daemon."""
 
 import dataclasses
 import json
@@ -27,10 +27,11 @@
 
 
 def check_policies(config: fleet.FleetConfig) -> None:
-    """Loads every policy.
+    """Compiles every policy.
 
     Raises:
-        PolicyError: Names the policy, the line and the column.
+        PolicyError: If a policy is invalid; the message contains the policy,
+            the line and the column.
     """
     for policy in config.policy.values():
         try:
@@ -70,10 +71,10 @@
         output.output(json.dumps(self.explain(config), indent=2))
 
     def explain(self, config: fleet.FleetConfig) -> dict[str, object]:
-        """Returns class, limits and endpoints, with the reasons.
+        """Returns class, zones, service, endpoints and reasons.
 
         Raises:
-            MartenjunctionError: If there is no such workspace or service.
+            MartenjunctionError: If the workspace or service does not exist.
         """
         workspace = config.workspace.get(self.workspace)
         service = config.service_for_model(self.model)
--- a/martenjunction/cmd/configure.py
+++ b/martenjunction/cmd/configure.py
@@ -24,7 +24,7 @@
 
 
 class NotInForceError(errors.MartenjunctionError):
-    """Some daemons do not have a change in force in time."""
+    """Some daemons did not apply a change in time."""
 
 
 @cappa.command(
@@ -143,7 +143,7 @@
     platform: remote.PlatformUrl
 
     def __call__(self, output: cappa.Output) -> None:
-        """Prints them."""
+        """Prints the objects."""
         documents = []
         for change in _current(self.platform).values():
             path = change.key.removeprefix(fleet.KEY_PREFIX)
@@ -162,7 +162,7 @@
     platform: remote.PlatformUrl
 
     def __call__(self, output: cappa.Output) -> None:
-        """Prints a line a difference."""
+        """Prints one line per difference."""
         documents, _ = fleet.read(self.files)
         current = _current(self.platform)
         for document in documents:
@@ -181,7 +181,7 @@
     platform: remote.PlatformUrl
 
     def __call__(self, output: cappa.Output) -> None:
-        """Prints a line a version, the newest first."""
+        """Prints one line per version, newest first."""
 
         async def work(
             platform: object_client.ObjectClient,
--- a/martenjunction/cmd/daemon.py
+++ b/martenjunction/cmd/daemon.py
@@ -1,4 +1,4 @@
-"""`martenjunction daemon`: the thin shell around the application."""
+"""`martenjunction daemon`: runs the application in an event loop."""
 
 import asyncio
 import dataclasses
@@ -29,9 +29,9 @@
 
 
 def run(settings: daemon_settings.DaemonSettings) -> None:
-    """Runs a daemon in an event loop of its own."""
+    """Runs a daemon in a new event loop."""
     if settings.loop == "uvloop":
-        # The library beneath it must not use io_uring.
+        # libuv must not use io_uring.
         os.environ["UV_USE_IO_URING"] = "0"
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(serve(settings))
@@ -40,9 +40,9 @@
 
 
 async def serve(settings: daemon_settings.DaemonSettings) -> None:
-    """Serves until a planned stop has ended.
+    """Serves until a graceful shutdown has completed.
 
-    SIGTERM and SIGINT begin a planned stop; a second SIGINT ends at once.
+    SIGTERM and SIGINT start a graceful shutdown.
     """
     daemon = application.Application(settings)
     loop = asyncio.get_running_loop()
--- a/martenjunction/cmd/inspect.py
+++ b/martenjunction/cmd/inspect.py
@@ -1,4 +1,4 @@
-"""`martenjunction dump` and `drain`: talk to one daemon."""
+"""`martenjunction dump` and `drain`: calls to a single daemon."""
 
 import dataclasses
 import json
@@ -50,7 +50,7 @@
     operator_key: remote.OperatorKey
 
     def __call__(self, output: cappa.Output) -> None:
-        """Begins the stop; the daemon ends when nothing is in flight."""
+        """Starts the stop; the daemon exits when no request is in flight."""
 
         async def ask(http: client.EndpointClient) -> remote.DaemonAnswer:
             return await remote.ask_daemon(
--- a/martenjunction/cmd/remote.py
+++ b/martenjunction/cmd/remote.py
@@ -1,4 +1,4 @@
-"""What the commands share that talk to the platform and to daemons."""
+"""Helpers for commands that call the platform or daemons."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -39,12 +39,17 @@
 
 
 class NoAnswerError(errors.MartenjunctionError):
-    """A daemon did not answer an operator."""
+    """A daemon did not respond to an operator."""
 
 
 @dataclasses.dataclass(frozen=True)
 class DaemonAnswer:
-    """A daemon's answer to an operator."""
+    """A daemon's response to an operator.
+
+    Attributes:
+        status: The HTTP status.
+        body: The response body.
+    """
 
     status: int
     body: bytes
@@ -55,7 +60,7 @@
 
 
 def run_with_http(work: Callable[[client.EndpointClient], Awaitable[T]]) -> T:
-    """Runs some work in an event loop, with an HTTP client of its own."""
+    """Runs a coroutine function with an HTTP client in a new event loop."""
 
     async def run() -> T:
         http = client.EndpointClient(MAX_TRANSFERS)
@@ -70,7 +75,7 @@
 def with_platform(
     url: str, work: Callable[[object_client.ObjectClient], Awaitable[T]]
 ) -> T:
-    """Runs some work with a client of the platform."""
+    """Runs a coroutine function with a platform client in a new event loop."""
 
     async def run() -> T:
         platform = object_client.ObjectClient(url)
@@ -90,10 +95,10 @@
     path: str,
     body: bytes = b"",
 ) -> DaemonAnswer:
-    """Asks a daemon on its operators' address.
+    """Sends a request to a daemon's operator address.
 
     Raises:
-        NoAnswerError: If it does not answer, or refuses the key.
+        NoAnswerError: If the daemon does not respond or refuses the key.
     """
     request = client.EndpointRequest(
         method,
@@ -110,7 +115,7 @@
                 parts.append(part)
     except (errors.EndpointError, TimeoutError) as error:
         http.cancel(stream)
-        raise NoAnswerError(f"{address} does not answer: {error}") from error
+        raise NoAnswerError(f"{address} did not respond: {error}") from error
     if head.status == 401:
-        raise NoAnswerError(f"{address} does not take this key")
+        raise NoAnswerError(f"{address} rejected the operator key")
     return DaemonAnswer(head.status, b"".join(parts))
