--- a/tests/box_processes.py
+++ b/tests/box_processes.py
@@ -1,4 +1,4 @@
-"""Builders of boxes that run as processes of their own."""
+"""Helpers that run boxes as separate processes."""
 
 import asyncio
 from collections.abc import Iterator
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass
 class Box:
-    """A running process and where it serves."""
+    """A box process and its settings."""
 
     settings: box_settings.BoxSettings
     process: asyncio.subprocess.Process
-    # A handle that no other process can take over once this one has ended.
+    # A pidfd, which unlike a pid is not reused after the process has exited.
     handle: int
-    # Its output is read all the time: the event loop reports no end of a
-    # process whose full pipe nobody reads.
+    # Reads the output continuously: the event loop does not report the exit of
+    # a process while its pipe is full and unread.
     output: asyncio.Task[bytes]
 
     @property
@@ -51,22 +51,22 @@
                 await asyncio.sleep(0.05)
 
     async def log(self) -> list[dict[str, object]]:
-        """Returns the lines written until the process ended."""
+        """Returns all log lines, once the process has exited."""
         text = await self.output
         return [json.loads(line) for line in text.splitlines()]
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal; none to a process that has ended.
+        """Sends a signal unless the process has exited.
 
-        Not by the process object: it would collect the exit code before the
-        event loop does, which then reports 255.
+        Does not use the process object, which would collect the exit code
+        before the event loop does; the event loop would then report 255.
         """
         with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.handle, number)
 
     @contextlib.contextmanager
     def held_up(self) -> Iterator[None]:
-        """Has the process stand still, as if it got no processor."""
+        """Suspends the process, as if it got no processor time."""
         self.signal(signal.SIGSTOP)
         try:
             yield
@@ -74,12 +74,12 @@
             self.signal(signal.SIGCONT)
 
     async def until_ended(self) -> int:
-        """Waits for the end; returns the exit code."""
+        """Waits for the process to exit; returns the exit code."""
         async with asyncio.timeout(END_LIMIT_S):
             return await self.process.wait()
 
     async def discard(self) -> None:
-        """Ends the process, whatever its state."""
+        """Kills the process in any state."""
         self.signal(signal.SIGKILL)
         await self.until_ended()
         os.close(self.handle)
@@ -105,8 +105,8 @@
 def settings_of(
     fleet: boxes.Boxes, box: str, **changes: Any
 ) -> box_settings.BoxSettings:
-    # The port for metrics is fixed: each process here has an IP of its own,
-    # also beside another run of the tests.
+    # The metrics port is fixed, so each process gets its own random loopback
+    # address. This also avoids conflicts with a concurrent test run.
     parts = [random.randint(1, 254) for _ in range(3)]
     changes["ip"] = ".".join(str(part) for part in (127, *parts))
     return boxes.settings(box, fleet.store.address, **changes)
--- a/tests/test_box_process.py
+++ b/tests/test_box_process.py
@@ -1,4 +1,4 @@
-"""Boxes as real processes: their settings file, signals, logs and exits."""
+"""Tests boxes as processes: settings file, signals, logs and exit codes."""
 
 import asyncio
 from collections.abc import AsyncIterator
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that are generated are current, and commands in them exist."""
+"""Tests that generated pages are current and shown commands are valid."""
 
 import pathlib
 import re
--- a/tests/test_replays.py
+++ b/tests/test_replays.py
@@ -1,4 +1,4 @@
-"""Loads replayed in simulated time: what each mechanism is worth there."""
+"""Replays loads in simulated time, with and without each mechanism."""
 
 import functools
 
@@ -30,10 +30,10 @@
 
 
 def test_short_streams_are_in_time_while_long_prompts_burst() -> None:
-    # Symptom: half of the short streams came late on engines that read more
-    # slowly than the first ones. Sequence: long prompts burst; three tokens an
-    # event waited for three pieces, 0.2 s and more. Cause: figures of other
-    # engines were constants. What settled it: 126 of 253 late with them.
+    # Guards against constant engine profiles. On engines with a slower prefill
+    # than those the constants came from, a burst of long prompts delays short
+    # streams: an event of three tokens waits for three prefill chunks, 0.2 s
+    # or more. With constants 126 of 253 short streams were late.
     now = replayed("drafts-burst").results["short"]
     before = replayed("drafts-burst", "figures-learnt").results["short"]
     assert now.late <= 0.02 * now.asked
@@ -54,9 +54,10 @@
 
 
 def test_long_prompts_get_engines_beside_streams_that_read_little() -> None:
-    # Symptom: more long prompts were refused than engines could not read.
-    # Sequence: 34 streams that ask for little held two of five engines. Cause:
-    # engines were divided by how many streams ran. 46 of 245 were refused.
+    # Guards against dividing engines by the number of running streams instead
+    # of by demand. 34 streams with little prefill demand then reserved two of
+    # five engines, and 46 of 245 long prompts were refused, more than exceeded
+    # the engines' capacity.
     now = replayed("streams-that-read-little")
     before = replayed("streams-that-read-little", "division-by-demand")
     drafts = now.results["draft"]
--- a/tests/test_run_tests.py
+++ b/tests/test_run_tests.py
@@ -1,4 +1,4 @@
-"""What the checks make of tests that are known to fail."""
+"""Tests how the test runner treats tests that are known to fail."""
 
 import pathlib
 
