--- a/martenjunction/cmd/check.py
+++ b/martenjunction/cmd/check.py
@@ -85,12 +85,12 @@
         facts = policies.RequestFacts(
             self.workspace, self.kind, self.model, self.prompt_tokens, 0, ""
         )
-        classed = classing.Classifier(config).classify(workspace, facts)
+        result = classing.Classifier(config).classify(workspace, facts)
         endpoints = config.endpoints_of(service.name)
         return {
-            "class": dataclasses.asdict(classed.service_class),
-            "zones": list(classed.zones),
+            "class": dataclasses.asdict(result.service_class),
+            "zones": list(result.zones),
             "service": service.name,
             "endpoints": sorted(endpoint.name for endpoint in endpoints),
-            "reasons": list(classed.reasons),
+            "reasons": list(result.reasons),
         }
--- a/martenjunction/cmd/configure.py
+++ b/martenjunction/cmd/configure.py
@@ -81,18 +81,18 @@
         changes: list[configuration.Change],
     ) -> float:
         started = time.monotonic()
-        missing = {"everywhere"}
+        lagging = {"everywhere"}
         while time.monotonic() - started < self.wait:
             listed = await platform.boxes(0)
-            missing = await self._missing(http, listed.boxes, changes)
-            if not missing:
+            lagging = await self._lagging_daemons(http, listed.boxes, changes)
+            if not lagging:
                 return time.monotonic() - started
             await asyncio.sleep(POLL_INTERVAL)
         raise NotInForceError(
-            f"not in force after {self.wait} s on {', '.join(sorted(missing))}"
+            f"not in force after {self.wait} s on {', '.join(sorted(lagging))}"
         )
 
-    async def _missing(
+    async def _lagging_daemons(
         self,
         http: client.EndpointClient,
         boxes: list[model.ListedBox],
@@ -105,16 +105,16 @@
             and box.state is model.BoxState.LIVE
         ]
         query = "&".join(f"key={change.key}" for change in changes)
-        have = await asyncio.gather(
-            *(self._has(http, box, query, changes) for box in daemons)
+        applied = await asyncio.gather(
+            *(self._has_versions(http, box, query, changes) for box in daemons)
         )
         return {
             box.name
-            for box, in_force in zip(daemons, have, strict=True)
+            for box, in_force in zip(daemons, applied, strict=True)
             if not in_force
         }
 
-    async def _has(
+    async def _has_versions(
         self,
         http: client.EndpointClient,
         box: model.ListedBox,
@@ -122,7 +122,7 @@
         changes: list[configuration.Change],
     ) -> bool:
         try:
-            answer = await remote.ask_daemon(
+            response = await remote.ask_daemon(
                 http,
                 box.operators,
                 self.operator_key,
@@ -131,7 +131,7 @@
             )
         except remote.NoAnswerError:
             return False
-        versions = answer.json()["versions"]
+        versions = response.json()["versions"]
         return all(versions[c.key] >= c.version for c in changes)
 
 
--- a/martenjunction/cmd/inspect.py
+++ b/martenjunction/cmd/inspect.py
@@ -28,12 +28,14 @@
     def __call__(self, output: cappa.Output) -> None:
         """Prints the state."""
 
-        async def ask(http: client.EndpointClient) -> remote.DaemonAnswer:
+        async def send_request(
+            http: client.EndpointClient,
+        ) -> remote.DaemonResponse:
             return await remote.ask_daemon(
                 http, self.address, self.operator_key, "GET", "/operator/dump"
             )
 
-        state = remote.run_with_http(ask).json()
+        state = remote.run_with_http(send_request).json()
         if self.part:
             state = state.get(self.part, {})
         output.output(json.dumps(state, indent=2))
@@ -52,7 +54,9 @@
     def __call__(self, output: cappa.Output) -> None:
         """Starts the stop; the daemon exits when no request is in flight."""
 
-        async def ask(http: client.EndpointClient) -> remote.DaemonAnswer:
+        async def send_request(
+            http: client.EndpointClient,
+        ) -> remote.DaemonResponse:
             return await remote.ask_daemon(
                 http,
                 self.address,
@@ -61,5 +65,5 @@
                 "/operator/drain",
             )
 
-        remote.run_with_http(ask)
+        remote.run_with_http(send_request)
         output.output(f"{self.address} is being stopped")
--- a/martenjunction/cmd/remote.py
+++ b/martenjunction/cmd/remote.py
@@ -18,7 +18,7 @@
 T = TypeVar("T")
 
 MAX_TRANSFERS = 32
-ANSWER_TIMEOUT = 5.0
+RESPONSE_TIMEOUT = 5.0
 
 PlatformUrl = Annotated[
     str,
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class DaemonAnswer:
+class DaemonResponse:
     """A daemon's response to an operator.
 
     Attributes:
@@ -94,7 +94,7 @@
     method: str,
     path: str,
     body: bytes = b"",
-) -> DaemonAnswer:
+) -> DaemonResponse:
     """Sends a request to a daemon's operator address.
 
     Raises:
@@ -109,7 +109,7 @@
     stream = http.open(request)
     parts = []
     try:
-        async with asyncio.timeout(ANSWER_TIMEOUT):
+        async with asyncio.timeout(RESPONSE_TIMEOUT):
             head = await stream.head()
             while part := await stream.read():
                 parts.append(part)
@@ -118,4 +118,4 @@
         raise NoAnswerError(f"{address} did not respond: {error}") from error
     if head.status == 401:
         raise NoAnswerError(f"{address} rejected the operator key")
-    return DaemonAnswer(head.status, b"".join(parts))
+    return DaemonResponse(head.status, b"".join(parts))
--- a/tests/box_processes.py
+++ b/tests/box_processes.py
@@ -28,7 +28,7 @@
     settings: box_settings.BoxSettings
     process: asyncio.subprocess.Process
     # A pidfd, which unlike a pid is not reused after the process has exited.
-    handle: int
+    pidfd: int
     # Reads the output continuously: the event loop does not report the exit of
     # a process while its pipe is full and unread.
     output: asyncio.Task[bytes]
@@ -62,7 +62,7 @@
         before the event loop does; the event loop would then report 255.
         """
         with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self.handle, number)
+            signal.pidfd_send_signal(self.pidfd, number)
 
     @contextlib.contextmanager
     def held_up(self) -> Iterator[None]:
@@ -82,7 +82,7 @@
         """Kills the process in any state."""
         self.signal(signal.SIGKILL)
         await self.until_ended()
-        os.close(self.handle)
+        os.close(self.pidfd)
 
 
 async def start(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,21 +19,21 @@
 
 @pytest.fixture
 async def http() -> AsyncIterator[client.EndpointClient]:
-    made = client.EndpointClient(MAX_TRANSFERS)
-    yield made
-    made.close()
+    http_client = client.EndpointClient(MAX_TRANSFERS)
+    yield http_client
+    http_client.close()
 
 
 @pytest.fixture
 async def fleet() -> AsyncIterator[boxes.Boxes]:
-    made = boxes.Boxes()
-    await made.start(builders.config_document())
-    yield made
-    await made.stop()
+    box_fleet = boxes.Boxes()
+    await box_fleet.start(builders.config_document())
+    yield box_fleet
+    await box_fleet.stop()
 
 
 @pytest.fixture
 def peer() -> Iterator[raw_peers.RawPeer]:
-    made = raw_peers.RawPeer()
-    yield made
-    made.close()
+    raw_peer = raw_peers.RawPeer()
+    yield raw_peer
+    raw_peer.close()
--- a/tests/test_box_process.py
+++ b/tests/test_box_process.py
@@ -22,11 +22,11 @@
 
 @pytest.fixture
 async def fleet() -> AsyncIterator[boxes.Boxes]:
-    made = boxes.Boxes()
-    await made.start(builders.config_document(), boxes=0)
-    await made.add_replica(builders.PLAIN)
-    yield made
-    await made.stop()
+    box_fleet = boxes.Boxes()
+    await box_fleet.start(builders.config_document(), boxes=0)
+    await box_fleet.add_replica(builders.PLAIN)
+    yield box_fleet
+    await box_fleet.stop()
 
 
 async def test_box_serves_logs_and_stops_as_planned(
@@ -48,8 +48,8 @@
         lines = await box.log()
         assert await box.process.wait() == 0
     kinds = [line["message_type"] for line in lines]
-    wanted = {"started", "config-in-force", "request", "reloaded"}
-    assert wanted <= set(kinds)
+    expected_kinds = {"started", "config-in-force", "request", "reloaded"}
+    assert expected_kinds <= set(kinds)
     assert kinds[-1] == "stopped"
     assert all(line["box"] == "box-1" for line in lines)
     [request] = [line for line in lines if line["message_type"] == "request"]
@@ -59,34 +59,34 @@
 async def test_killed_box_leaves_the_answers_and_returns(
     fleet: boxes.Boxes, tmp_path: pathlib.Path
 ) -> None:
-    made = [
+    started = [
         await box_processes.start(
             tmp_path, box_processes.settings_of(fleet, f"box-{n}")
         )
         for n in (1, 2)
     ]
-    for box in made:
+    for box in started:
         await box.until_ready()
 
     async def addresses() -> set[str]:
-        answer = await boxes.call_json(made[0].settings.entry, "/resolve")
+        answer = await boxes.call_json(started[0].settings.entry, "/resolve")
         return set(answer["addresses"])
 
-    both = {box.settings.callers for box in made}
+    both = {box.settings.callers for box in started}
     async with asyncio.timeout(30.0):
         while await addresses() != both:
             await asyncio.sleep(0.05)
-        made[1].process.kill()
-        await made[1].process.wait()
+        started[1].process.kill()
+        await started[1].process.wait()
         while await addresses() == both:
             await asyncio.sleep(0.05)
-        made[1] = await box_processes.start(tmp_path, made[1].settings)
+        started[1] = await box_processes.start(tmp_path, started[1].settings)
         while await addresses() != both:
             await asyncio.sleep(0.05)
-    for box in made:
+    for box in started:
         box.process.terminate()
     async with asyncio.timeout(30.0):
-        assert [await box.process.wait() for box in made] == [0, 0]
+        assert [await box.process.wait() for box in started] == [0, 0]
 
 
 async def test_settings_that_cannot_be_used_end_the_process(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,8 +14,8 @@
 
 
 def test_settings_reference_is_current() -> None:
-    held = settings_reference.PAGE.read_text(encoding="utf-8")
-    assert held == settings_reference.page()
+    page_text = settings_reference.PAGE.read_text(encoding="utf-8")
+    assert page_text == settings_reference.page()
 
 
 def commands() -> list[list[str]]:
