--- a/martenjunction/cmd/inspect.py
+++ b/martenjunction/cmd/inspect.py
@@ -1,4 +1,4 @@
-"""`martenjunction dump` and `drain`: talk to one daemon."""
+"""`martenjunction dump` and `drain`: calls to a single daemon."""
 
 import dataclasses
 import json
@@ -28,12 +28,14 @@
     def __call__(self, output: cappa.Output) -> None:
         """Prints the state."""
 
-        async def ask(http: client.EndpointClient) -> remote.DaemonAnswer:
+        async def send_request(
+            http: client.EndpointClient,
+        ) -> remote.DaemonResponse:
             return await remote.ask_daemon(
                 http, self.address, self.operator_key, "GET", "/operator/dump"
             )
 
-        state = remote.run_with_http(ask).json()
+        state = remote.run_with_http(send_request).json()
         if self.part:
             state = state.get(self.part, {})
         output.output(json.dumps(state, indent=2))
@@ -50,9 +52,11 @@
     operator_key: remote.OperatorKey
 
     def __call__(self, output: cappa.Output) -> None:
-        """Begins the stop; the daemon ends when nothing is in flight."""
+        """Starts the stop; the daemon exits when no request is in flight."""
 
-        async def ask(http: client.EndpointClient) -> remote.DaemonAnswer:
+        async def send_request(
+            http: client.EndpointClient,
+        ) -> remote.DaemonResponse:
             return await remote.ask_daemon(
                 http,
                 self.address,
@@ -61,5 +65,5 @@
                 "/operator/drain",
             )
 
-        remote.run_with_http(ask)
+        remote.run_with_http(send_request)
         output.output(f"{self.address} is being stopped")
--- a/martenjunction/listeners.py
+++ b/martenjunction/listeners.py
@@ -14,73 +14,74 @@
 from martenjunction.config import settings as daemon_settings
 from martenjunction.operators import handlers as operator_handlers
 
-# Seconds for which a connection may rest, and that a body may take.
+# Idle timeout of a connection and timeout of a request body, in seconds.
 IDLE_CONNECTION = 75.0
 BODY_TIMEOUT = 60.0
 
-# Connections that may wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 BACKLOG = 1024
 
 
 class Listeners:
-    """Both servers of a daemon."""
+    """The caller and operator servers of a daemon."""
 
     def __init__(
         self,
         settings: daemon_settings.DaemonSettings,
         callers: caller_service.CallerService,
-        operated: operator_handlers.Operated,
+        daemon: operator_handlers.OperatedDaemon,
     ) -> None:
-        """Makes servers that do not listen yet.
+        """Initializes the servers, which do not listen yet.
 
         Args:
             settings: The daemon's settings.
-            callers: The service behind the callers' side.
-            operated: What operators ask and tell.
+            callers: The service that handles callers' requests.
+            daemon: The daemon that handles operators' requests.
         """
         self._settings = settings
         self._callers = callers
-        self._operated = operated
+        self._daemon = daemon
         self._servers: list[http_server.Server] = []
 
     @property
     def sockets(self) -> list[socket.socket]:
         """The sockets that callers and operators connect to."""
-        # The library has no public call for this.
+        # tornado has no public API for this.
         return [
             listening
             for server in self._servers
             for listening in server._sockets.values()
         ]
 
-    def begin(self) -> None:
-        """Begins to listen."""
+    def start(self) -> None:
+        """Starts to listen."""
         settings = self._settings
         self._listen(
-            _callers_side(self._callers),
+            _caller_application(self._callers),
             settings.listen_callers or settings.callers,
         )
         self._listen(
-            operator_handlers.application(
-                self._operated, settings.operator_key
-            ),
+            operator_handlers.application(self._daemon, settings.operator_key),
             settings.operators,
         )
 
-    def end_reuse(self) -> None:
-        """Has each connection end with its next answer, which says so."""
+    def disable_keep_alive(self) -> None:
+        """Closes each connection after its next response.
+
+        The response announces this in its `Connection` header.
+        """
         for server in self._servers:
-            server.end_reuse()
+            server.disable_keep_alive()
 
     async def finish(self) -> None:
-        """Answers what is under way, then ends; it may take any time."""
+        """Drains in-flight requests, then stops; has no time limit."""
         for server in self._servers:
             await server.finish()
 
-    async def cut_off(self) -> None:
-        """Closes everything at once; requests in flight are cut off."""
+    async def abort(self) -> None:
+        """Closes all connections at once and aborts in-flight requests."""
         for server in self._servers:
-            server.cut_off()
+            server.abort()
         for server in self._servers:
             await server.close_all_connections()
 
@@ -97,7 +98,9 @@
         self._servers.append(server)
 
 
-def _callers_side(callers: caller_service.CallerService) -> web.Application:
+def _caller_application(
+    callers: caller_service.CallerService,
+) -> web.Application:
     arguments: dict[str, Any] = {"callers": callers}
     return web.Application(
         [
--- a/martenjunction/operators/dumps.py
+++ b/martenjunction/operators/dumps.py
@@ -1,4 +1,4 @@
-"""The state of a daemon's parts in a form that JSON can hold."""
+"""State of a daemon's components as JSON-serializable data."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 def of_cells(cells: host.CellHost) -> dict[str, Any]:
-    """Returns the cells that run here."""
+    """Returns the cells that run on this daemon."""
     return {
         name: {
             "waiting": task.decider.waiting,
@@ -35,7 +35,7 @@
 
 
 def of_endpoint(endpoint: placement.Endpoint) -> dict[str, Any]:
-    """Returns one endpoint as its cell sees it."""
+    """Returns the state of an endpoint in its cell."""
     return {
         "state": str(endpoint.health.state),
         "slots": endpoint.slots,
@@ -47,27 +47,27 @@
     }
 
 
-def of_broker(placed: broker.Broker) -> dict[str, Any]:
-    """Returns this box's requests with cells."""
+def of_broker(cell_broker: broker.Broker) -> dict[str, Any]:
+    """Returns the state of this box's requests to cells."""
     states: dict[str, int] = {}
-    for ticket in placed.tickets.values():
+    for ticket in cell_broker.tickets.values():
         states[ticket.state.value] = states.get(ticket.state.value, 0) + 1
     return {
-        "asked": placed.counts.asked,
-        "moved": placed.counts.moved,
-        "returned": placed.counts.returned,
+        "asked": cell_broker.counts.asked,
+        "moved": cell_broker.counts.moved,
+        "returned": cell_broker.counts.returned,
         "tickets": states,
-        "owners": placed.owners_now,
+        "owners": cell_broker.owners_now,
     }
 
 
 def of_members(members: membership.Membership) -> dict[str, Any]:
-    """Returns who there is, as this daemon believes."""
-    believed = {member.box for member in members.believed()}
+    """Returns the members that this daemon knows and whether they are live."""
+    live = {member.box for member in members.believed()}
     return {
         member.box: {
             "zone": member.zone,
-            "believed": member.box in believed,
+            "believed": member.box in live,
             "listed": member.listed,
             "leaving": member.leaving_since is not None,
             "incarnation": member.incarnation,
@@ -77,7 +77,7 @@
 
 
 def of_peers(peers: hub.PeerHub) -> dict[str, Any]:
-    """Returns connections and what went over them."""
+    """Returns peer connections and their traffic."""
     traffic = peers.traffic()
     return {
         "connected": sorted(peers.boxes()),
@@ -90,18 +90,18 @@
     }
 
 
-def of_config(held: store.ConfigStore) -> dict[str, Any]:
-    """Returns which configuration is in force."""
+def of_config(config_store: store.ConfigStore) -> dict[str, Any]:
+    """Returns the state of the active configuration."""
     return {
-        "revision": held.revision,
-        "digest": f"{held.digest:016x}",
-        "objects": len(held),
-        "rejected": held.rejected,
+        "revision": config_store.revision,
+        "digest": f"{config_store.digest:016x}",
+        "objects": len(config_store),
+        "rejected": config_store.rejected,
     }
 
 
 def of_policies(classifier: classing.Classifier) -> dict[str, Any]:
-    """Returns how the policies fare."""
+    """Returns call and failure counts of the policies."""
     programs = {
         program.name: {
             "calls": program.calls,
@@ -114,7 +114,7 @@
 
 
 def of_claims(claims: keeper.ClaimKeeper) -> dict[str, Any]:
-    """Returns the claim shards that were owned here."""
+    """Returns the claim shards that this daemon has owned."""
     return {
         str(number): {"writes": shard.writes, "conflicts": shard.conflicts}
         for number, shard in claims.owned.items()
@@ -122,15 +122,15 @@
 
 
 def of_platform(
-    followed: feed.PlatformFeed,
+    platform_feed: feed.PlatformFeed,
     platform: object_client.ObjectClient,
     watcher: bool,
 ) -> dict[str, Any]:
-    """Returns what this daemon asks of the platform, and how it answers."""
+    """Returns the state of this daemon's platform feed and API calls."""
     return {
         "configured": True,
         "watcher": watcher,
-        "answered_ago_s": followed.answered_ago,
-        "failures": followed.failures,
+        "answered_ago_s": platform_feed.answered_ago,
+        "failures": platform_feed.failures,
         "calls": platform.calls,
     }
--- a/martenjunction/rankings.py
+++ b/martenjunction/rankings.py
@@ -1,4 +1,4 @@
-"""Which boxes a daemon can reach, and what they are ranked for."""
+"""Rankings of reachable boxes for ownership, watching and entry."""
 
 from collections.abc import Callable
 import random
@@ -10,15 +10,15 @@
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 
-# Daemons of each availability zone that follow the platform all the time.
+# Daemons per availability zone that continuously watch the platform.
 WATCHERS_PER_ZONE = 2
 
-# Addresses in one entry answer.
+# Maximum number of addresses in an entry response.
 MAX_ENTRIES = 4
 
 
 class Rankings:
-    """Ranks the boxes that are believed live and can be reached."""
+    """Ranks the boxes that are considered live and are connected."""
 
     def __init__(
         self,
@@ -26,42 +26,43 @@
         members: membership.Membership,
         peers: hub.PeerHub,
         rng: random.Random,
-        held: Callable[[], float],
+        utilization: Callable[[], float],
     ) -> None:
-        """Makes rankings that follow the membership.
+        """Initializes the rankings, which follow the membership.
 
         Args:
             settings: The daemon's settings.
-            members: The boxes.
-            peers: Tells which of them can be reached.
-            rng: Draws among entry addresses that are alike.
-            held: Returns the part of what this daemon may hold that is taken.
+            members: The members of the fleet.
+            peers: The connections to other boxes.
+            rng: Breaks ties between entry addresses.
+            utilization: Returns this daemon's utilization as a fraction of the
+                requests that it may hold.
         """
         self._box = settings.box
         self._zone = settings.zone
         self._members = members
         self._peers = peers
         self._rng = rng
-        self._held = held
+        self._utilization = utilization
 
     @property
     def is_watcher(self) -> bool:
-        """Whether this box follows the platform for its zone."""
-        near = [
+        """Whether this box watches the platform for its zone."""
+        same_zone = [
             member.box
             for member in self._reachable()
             if member.zone == self._zone
         ]
-        ranking = rendezvous.ranked(near, f"watch/{self._zone}")
+        ranking = rendezvous.ranked(same_zone, f"watch/{self._zone}")
         return self._box in ranking[:WATCHERS_PER_ZONE]
 
     def owners(self, cell: directory.CellInfo) -> list[str]:
-        """Returns the boxes that may own a cell, the best first."""
-        places = [
+        """Returns the boxes that may own a cell, best first."""
+        locations = [
             directory.BoxPlace(member.box, member.zone)
             for member in self._reachable()
         ]
-        return directory.owner_ranking(cell, places)
+        return directory.owner_ranking(cell, locations)
 
     def shard_owner(self, key: str) -> str:
         """Returns the box that owns a shard of claims."""
@@ -69,12 +70,12 @@
         return rendezvous.owner(boxes, key) or self._box
 
     def entry(self) -> list[caller_service.EntryAddress]:
-        """Ranks boxes for callers: near ones first, then those with room."""
+        """Returns boxes for callers, ordered by distance and utilization."""
         ranked = sorted(
             self._reachable(),
             key=lambda member: (
                 directory.distance(self._zone, member.zone),
-                round(self._held_of(member), 1),
+                round(self._utilization_of(member), 1),
                 self._rng.random(),
             ),
         )
@@ -90,5 +91,5 @@
             if member.box == self._box or self._peers.reachable(member.box)
         ]
 
-    def _held_of(self, member: membership.Member) -> float:
-        return self._held() if member.box == self._box else member.held
+    def _utilization_of(self, member: membership.Member) -> float:
+        return self._utilization() if member.box == self._box else member.held
--- a/martenjunction/timers.py
+++ b/martenjunction/timers.py
@@ -1,4 +1,4 @@
-"""The timer service that parts subscribe to."""
+"""The timer service to which components subscribe."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Seconds of delay from which on the event loop counts as held up; on calm days
-# it is not.
+# Delay, in seconds, above which the event loop counts as stalled. Delays stay
+# below it under light load.
 HELD_UP_S = 0.03
 
 Tick = Callable[[], None]
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass
 class Subscription:
-    """One part's wish to be called at intervals.
+    """A subscription to periodic calls.
 
     Attributes:
         name: Shown in the dump and in logs.
@@ -38,31 +38,34 @@
 
 
 class Timers:
-    """Calls subscribers at their intervals and tells the time.
+    """Calls subscribers at their intervals and provides the time.
 
-    All code that decides takes its time from `now`, so that a test can put
-    another clock in its place.
+    All decision code takes its time from `now`, so that a test can substitute
+    another clock.
     """
 
     RESOLUTION = 0.01
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """Makes the service.
+        """Initializes the service.
 
         Args:
-            clock: Returns seconds on a clock that never goes back.
+            clock: Returns seconds on a monotonic clock.
         """
         self._clock = clock
         self._subscriptions: list[Subscription] = []
         self._task: asyncio.Task[None] | None = None
         self._worst_delay = 0.0
-        self._held_up: Callable[[float], None] | None = None
-        self._wake = math.inf
-        self._held_up_s = 0.0
+        self._on_stall: Callable[[float], None] | None = None
+        self._wake_at = math.inf
+        self._stalled_s = 0.0
 
     @property
     def worst_delay(self) -> float:
-        """The longest time, in seconds, that the event loop woke us late."""
+        """The worst recent event loop delay in seconds.
+
+        It decays by 0.1 percent at each wake-up.
+        """
         return self._worst_delay
 
     def now(self) -> float:
@@ -70,19 +73,20 @@
         return self._clock()
 
     def listened(self) -> float:
-        """Returns seconds on a clock that stops while the loop is held up.
+        """Returns seconds on a clock that stops during event loop stalls.
 
-        What others said meanwhile is not read yet, so their silence is
-        measured by it: else one hold-up makes everybody silent at once.
+        Messages that arrive during a stall are not read until it ends, so the
+        silence of peers is measured on this clock. Otherwise a single stall
+        would make all of them appear silent at once.
         """
         now = self.now()
-        return now - self._held_up_s - self._late(now)
+        return now - self._stalled_s - self._current_stall_s(now)
 
     def subscribe(self, name: str, interval: float, tick: Tick) -> Subscription:
-        """Has `tick` called every `interval` seconds.
+        """Calls `tick` every `interval` seconds.
 
         Args:
-            name: Names the subscriber.
+            name: Name of the subscriber.
             interval: Seconds, at least `RESOLUTION`.
             tick: Called without arguments.
 
@@ -94,13 +98,13 @@
         self._subscriptions.append(subscription)
         return subscription
 
-    def on_held_up(self, callback: Callable[[float], None]) -> None:
-        """Has a callback told when the event loop was held up.
+    def on_stall(self, callback: Callable[[float], None]) -> None:
+        """Sets the callback for event loop stalls.
 
         Args:
-            callback: Called with the seconds by which it woke us late.
+            callback: Called with the delay in seconds.
         """
-        self._held_up = callback
+        self._on_stall = callback
 
     def fire(self) -> None:
         """Calls every subscriber that is due."""
@@ -113,18 +117,18 @@
                 self._call(subscription)
 
     def rest_until(self, wake: float) -> None:
-        """Notes that nothing is to be called before a moment."""
-        self._wake = wake
+        """Records the time at which the next call is due."""
+        self._wake_at = wake
 
     def wake(self) -> None:
-        """Calls every subscriber that is due, at or after that moment."""
+        """Measures the event loop delay and calls due subscribers."""
         now = self.now()
-        late = now - self._wake
-        self._worst_delay = max(self._worst_delay * 0.999, late)
-        self._held_up_s += self._late(now)
-        self._wake = math.inf
-        if late > HELD_UP_S and self._held_up is not None:
-            self._held_up(late)
+        delay = now - self._wake_at
+        self._worst_delay = max(self._worst_delay * 0.999, delay)
+        self._stalled_s += self._current_stall_s(now)
+        self._wake_at = math.inf
+        if delay > HELD_UP_S and self._on_stall is not None:
+            self._on_stall(delay)
         self.fire()
 
     def start(self) -> None:
@@ -136,7 +140,7 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-            self._wake = math.inf
+            self._wake_at = math.inf
 
     async def _run(self) -> None:
         while True:
@@ -145,9 +149,9 @@
             await asyncio.sleep(max(self.RESOLUTION, wake - self.now()))
             self.wake()
 
-    def _late(self, now: float) -> float:
-        """Returns for how long, in seconds, the loop is held up by now."""
-        return max(0.0, now - self._wake - HELD_UP_S)
+    def _current_stall_s(self, now: float) -> float:
+        """Returns the duration of the current stall in seconds."""
+        return max(0.0, now - self._wake_at - HELD_UP_S)
 
     def _next_due(self) -> float:
         horizon = self.now() + 1.0
