--- a/martenjunction/callers/__init__.py
+++ b/martenjunction/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that is said to callers."""
+"""HTTP interface for callers: request handlers, keys and admission."""
--- a/martenjunction/callers/chat.py
+++ b/martenjunction/callers/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: streamed as server-sent events, or whole."""
+"""Chat completions, as server-sent events or as one JSON response."""
 
 import dataclasses
 import json
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChatBody:
-    """The fields of a chat request that the daemon itself reads."""
+    """Fields of a chat request that the daemon itself uses."""
 
     __pydantic_config__ = pydantic.ConfigDict(extra="ignore")
 
@@ -43,12 +43,12 @@
 
 
 class ChatHandler(handlers.CallerHandler):
-    """`POST /v1/chat/completions`."""
+    """Handles `POST /v1/chat/completions`."""
 
     _relay: relay.Relay | None = None
 
     async def post(self) -> None:
-        """Answers a chat request."""
+        """Validates a chat request, runs it and sends the response."""
         try:
             raw, body = self._read()
             request = self._route(raw, body)
@@ -63,7 +63,7 @@
         await sink.end(result, conversation)
 
     def on_left(self) -> None:
-        """Cancels the run of a caller who left."""
+        """Cancels the run after the caller disconnected."""
         if self._relay is not None:
             self._relay.stop(broker.StopReason.CALLER_LEFT)
 
@@ -121,7 +121,7 @@
 
 
 class _StreamSink:
-    """Passes events on as they come."""
+    """Forwards a streaming response event by event."""
 
     def __init__(self, handler: ChatHandler) -> None:
         self._handler = handler
@@ -137,7 +137,7 @@
         handler.set_header("Cache-Control", "no-store")
 
     async def write(self, data: bytes) -> None:
-        """Sends events; returns when the connection has room for more."""
+        """Sends events and waits until the connection can take more."""
         try:
             self._handler.write(data)
             await self._handler.flush()
@@ -147,7 +147,7 @@
     async def end(
         self, result: results.Result, _: runs.EngineConversation
     ) -> None:
-        """Ends the answer, with an error event where it is not whole."""
+        """Ends the response, with an error event if it is incomplete."""
         if result.code is results.FailureCode.CALLER_LEFT:
             return
         if result.outcome is not outcomes.Outcome.DONE:
@@ -161,7 +161,7 @@
 
 
 class _WholeSink:
-    """Gathers an answer until it is whole."""
+    """Buffers a response until it is complete."""
 
     def __init__(self, handler: ChatHandler) -> None:
         self._handler = handler
@@ -169,19 +169,19 @@
         self._error_body = bytearray()
 
     async def start(self, head: streams.ResponseHead) -> None:
-        """Notes an engine's own refusal, whose body is passed on."""
+        """Records an engine's error response, whose body is forwarded."""
         if head.status >= 400:
             self._error_head = head
 
     async def write(self, data: bytes) -> None:
-        """Gathers the body of a refusal; chunks are with the relay."""
+        """Buffers an error body; the relay collects content chunks."""
         if self._error_head is not None:
             self._error_body += data
 
     async def end(
         self, result: results.Result, conversation: runs.EngineConversation
     ) -> None:
-        """Sends the whole answer, or why there is none."""
+        """Sends the complete response, or an error response."""
         handler = self._handler
         if result.code is results.FailureCode.CALLER_LEFT:
             return
--- a/martenjunction/callers/handlers.py
+++ b/martenjunction/callers/handlers.py
@@ -1,4 +1,4 @@
-"""What all handlers of the callers' side share: keys, limits and errors."""
+"""Base class of the caller handlers: keys, body limits and errors."""
 
 import http.client
 import json
@@ -24,10 +24,14 @@
 
 @web.stream_request_body
 class CallerHandler(web.RequestHandler):
-    """A request of a caller, checked before its body is read."""
+    """Base handler that checks a request before it reads the body."""
 
     def initialize(self, callers: service.CallerService) -> None:
-        """Takes the service that knows keys, classes and limits."""
+        """Initializes the handler.
+
+        Args:
+            callers: Service with keys, classes and limits.
+        """
         self._callers = callers
         self._body = bytearray()
         self._workspace: fleet.Workspace | None = None
@@ -37,23 +41,27 @@
 
     @property
     def callers(self) -> service.CallerService:
-        """The service behind the handlers."""
+        """The service that the handlers share."""
         return self._callers
 
     @property
     def workspace(self) -> fleet.Workspace:
-        """The workspace of the caller."""
+        """The caller's workspace.
+
+        Raises:
+            CallerError: If the request is not authenticated.
+        """
         if self._workspace is None:
             raise errors.CallerError(401, "no-key", "a key is required")
         return self._workspace
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The request body received so far."""
         return bytes(self._body)
 
     def prepare(self) -> None:
-        """Checks the key and the length before the body is read."""
+        """Checks the key and the content length before reading the body."""
         try:
             self._workspace = self._callers.authenticate(
                 self.request.headers.get("Authorization", "")
@@ -63,16 +71,16 @@
             self.fail(error)
 
     def on_connection_close(self) -> None:
-        """Ends the wait for a body, and what runs for the request."""
+        """Stops reading the body and cancels the work for the request."""
         super().on_connection_close()
         self.on_left()
         self._note_close()
 
     def on_left(self) -> None:
-        """Called when the connection closes before the answer is whole."""
+        """Called if the connection closes before the response is complete."""
 
     def break_off(self) -> None:
-        """Closes the connection within an answer that broke off."""
+        """Closes the connection in the middle of an incomplete response."""
         broken = closings.CloseReason.ANSWER_BROKEN
         http_server.cut_off(self.request.connection, broken)
         self._note_close()
@@ -80,13 +88,15 @@
     def make_relay(
         self, request: requests.RoutedRequest, sink: sinks.Sink
     ) -> relay.Relay:
-        """Takes a request in, unless nobody is there to be answered.
+        """Admits a request, unless its connection is already closed.
 
-        The library hands on what it had read when its connection closed, and
-        tells no handler of a close that came before.
+        Tornado still delivers a request that it had read when its connection
+        closed, and does not notify a handler of a close that happened before
+        the handler was created.
 
         Raises:
-            CallerError: If the connection is closed, or the daemon too full.
+            CallerError: If the connection is closed, or the daemon is
+                overloaded or shutting down.
         """
         if http_server.is_closed(self.request.connection):
             self._log_close(http_server.AFTER_CLOSE)
@@ -97,7 +107,7 @@
         return self._callers.make_relay(request, sink)
 
     def data_received(self, chunk: bytes) -> None:
-        """Collects the body, up to the limit."""
+        """Appends a chunk of the body, up to the size limit."""
         if self._failed:
             return
         self._body += chunk
@@ -106,7 +116,7 @@
             self.fail(_too_large(self._callers.settings.body_limit))
 
     def fail(self, error: errors.CallerError) -> None:
-        """Answers with an error; nothing of the request was run."""
+        """Sends an error response for a request that was not run."""
         if self._failed:
             return
         self._failed = True
@@ -127,7 +137,15 @@
         outcome: outcomes.Outcome,
         retry_after: float | None = None,
     ) -> None:
-        """Writes the header and body of an answer that is not whole."""
+        """Writes the headers and body of an error response.
+
+        Args:
+            status: HTTP status.
+            code: Error code.
+            message: Description of the error.
+            outcome: How far the request ran.
+            retry_after: Seconds after which to retry, or None.
+        """
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.set_header(http_headers.OUTCOME, str(outcome))
@@ -138,7 +156,10 @@
         self.write(json.dumps(body).encode())
 
     def write_result(self, result: results.Result) -> None:
-        """Writes how a request failed, where nothing was sent before."""
+        """Writes the error response of a failed run.
+
+        Only valid while nothing of a response has been sent.
+        """
         code = result.code or results.FailureCode.INTERNAL
         self.write_failure(
             results.STATUS[code],
@@ -149,7 +170,7 @@
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Turns errors of the web library into the usual form."""
+        """Writes Tornado's own errors in the common error format."""
         code = "internal-error" if status_code >= 500 else "bad-request"
         if status_code == 404:
             code = "not-found"
@@ -161,16 +182,16 @@
         self.finish()
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Leaves callers that went away out of the error log."""
+        """Logs exceptions, except those of callers that disconnected."""
         if not isinstance(value, iostream.StreamClosedError):
             super().log_exception(typ, value, tb)
 
     def header_pairs(self) -> http_headers.Pairs:
-        """Returns the request's headers, repeated ones one by one."""
+        """Returns the request headers, repeated ones as separate pairs."""
         return list(self.request.headers.get_all())
 
     def labels(self) -> dict[str, str]:
-        """Returns the short texts that the caller sent for policies."""
+        """Returns the labels that the caller set for policies."""
         prefix = http_headers.LABEL_PREFIX
         return {
             name[len(prefix) :].lower(): value
@@ -179,11 +200,14 @@
         }
 
     def request_id(self) -> str:
-        """Returns our own id; a caller's is not trusted to be unique."""
+        """Returns the id generated by the daemon.
+
+        An id sent by the caller is not used, as it may not be unique.
+        """
         return self._request_id
 
     def _note_close(self) -> None:
-        """Logs that the daemon, not the caller, closed the connection."""
+        """Logs a connection that the daemon, not the caller, closed."""
         why = http_server.close_reason(self.request.connection)
         if why is not closings.CloseReason.CLIENT:
             self._log_close(http_server.CLOSED)
@@ -210,7 +234,7 @@
     outcome: outcomes.Outcome,
     retry_after: float | None = None,
 ) -> dict[str, Any]:
-    """Returns the JSON body of an answer that is not whole."""
+    """Returns the JSON body of an error response."""
     error: dict[str, Any] = {
         "code": code,
         "message": message,
@@ -223,10 +247,10 @@
 
 def _too_large(limit: int) -> errors.CallerError:
     return errors.CallerError(
-        413, "body-too-large", f"a body may have {limit} bytes"
+        413, "body-too-large", f"the body exceeds the limit of {limit} bytes"
     )
 
 
 def reason_of(status: int) -> str:
-    """Returns the usual reason phrase of a status."""
+    """Returns the standard reason phrase of an HTTP status."""
     return http.client.responses.get(status, "Unknown")
--- a/martenjunction/callers/keys.py
+++ b/martenjunction/callers/keys.py
@@ -1,4 +1,4 @@
-"""Which workspace a key belongs to."""
+"""API keys and the workspaces that they belong to."""
 
 import hashlib
 import hmac
@@ -9,7 +9,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the hash under which a key is configured."""
+    """Returns the hash that the configuration stores for a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -17,7 +17,7 @@
     """Finds workspaces by the hashes of their keys."""
 
     def __init__(self, config: fleet.FleetConfig) -> None:
-        """Builds the table for a configuration."""
+        """Initializes the table from a configuration."""
         self._by_hash = {
             digest.lower(): workspace
             for workspace in config.workspace.values()
@@ -27,8 +27,9 @@
     def find(self, authorization: str) -> fleet.Workspace | None:
         """Returns the workspace of an `Authorization` header, or None.
 
-        The look-up is by a digest of the key, so its time tells nothing of
-        the key itself; the digest found is compared in constant time.
+        The table is indexed by a digest of the key, so the timing of the
+        look-up reveals nothing about the key; the digest that was found is
+        compared in constant time.
         """
         if not authorization.startswith(BEARER):
             return None
--- a/martenjunction/callers/lists.py
+++ b/martenjunction/callers/lists.py
@@ -1,4 +1,4 @@
-"""What callers can ask about the system itself."""
+"""Lists of models and entry addresses for callers."""
 
 from tornado import web
 
@@ -7,10 +7,10 @@
 
 
 class ModelsHandler(handlers.CallerHandler):
-    """`GET /v1/models`."""
+    """Handles `GET /v1/models`."""
 
     def get(self) -> None:
-        """Lists the models, in the form of the published API."""
+        """Lists the models in the format of the published API."""
         services = self.callers.config.service.values()
         models = [
             {"id": model, "object": "model", "owned_by": service.name}
@@ -22,10 +22,10 @@
 
 
 class EntryHandler(handlers.CallerHandler):
-    """`GET /v1/entry`."""
+    """Handles `GET /v1/entry`."""
 
     def get(self) -> None:
-        """Tells which addresses to use, the best first, and for how long."""
+        """Returns the addresses to use, best first, and their lifetime."""
         ttl = self.callers.settings.entry_ttl
         self.set_header("Cache-Control", f"max-age={int(ttl)}")
         self.write(
@@ -44,8 +44,8 @@
 
 
 class UnknownPathHandler(handlers.CallerHandler):
-    """Every other path."""
+    """Handles every other path."""
 
     def prepare(self) -> None:
-        """Answers without looking at the key."""
+        """Responds with 404 without checking the key."""
         raise web.HTTPError(404)
--- a/martenjunction/callers/plain.py
+++ b/martenjunction/callers/plain.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, passed on as they are."""
+"""Calls to plain services, forwarded without changes."""
 
 from tornado import iostream
 
@@ -15,12 +15,12 @@
 from martenjunction.relay import results
 from martenjunction.relay import sinks
 
-# Statuses whose answers have no body (RFC 9110, section 6.4.1).
+# Statuses whose responses have no body (RFC 9110, section 6.4.1).
 BODILESS = frozenset({204, 304})
 
 
 class PlainHandler(handlers.CallerHandler):
-    """Any method on `/v1/services/NAME/PATH`."""
+    """Handles any method on `/v1/services/NAME/PATH`."""
 
     SUPPORTED_METHODS = (
         "GET",
@@ -35,16 +35,16 @@
     _relay: relay.Relay | None = None
 
     async def get(self, name: str, path: str) -> None:
-        """Passes a call on."""
+        """Forwards a call to a service."""
         await self._pass_on(name, path)
 
     head = post = delete = patch = put = options = get
 
     def on_left(self) -> None:
-        """Stops waiting for a caller who left.
+        """Cancels the call after the caller disconnected.
 
-        A call that may not be repeated and that runs goes on to its end: the
-        service is not to be left in doubt by us.
+        A running call that may not be repeated continues to its end, as the
+        service could not know whether a cancelled call took effect.
         """
         if self._relay is None:
             return
@@ -115,7 +115,7 @@
 
 
 class _PlainSink:
-    """Passes status, headers and body on."""
+    """Forwards the status, headers and body of a response."""
 
     def __init__(self, handler: PlainHandler) -> None:
         self._handler = handler
@@ -134,7 +134,7 @@
         self._bodiless = self._bodiless or head.status in BODILESS
 
     async def write(self, data: bytes) -> None:
-        """Sends a part of the body."""
+        """Sends a chunk of the body."""
         if self._bodiless:
             return
         try:
@@ -144,7 +144,7 @@
             raise sinks.CallerGoneError from error
 
     async def end(self, result: results.Result) -> None:
-        """Ends the answer; one that broke off ends with its connection."""
+        """Ends the response; closes the connection if it is incomplete."""
         handler = self._handler
         failed = result.code is not None
         if failed and self._started:
--- a/martenjunction/callers/prompts.py
+++ b/martenjunction/callers/prompts.py
@@ -1,4 +1,4 @@
-"""What can be told of a prompt without the model's own tokenizer."""
+"""Prompt length and prefix hashes without the model's tokenizer."""
 
 import json
 from typing import Any
@@ -12,19 +12,21 @@
 
 
 def text_of(messages: list[Any]) -> str:
-    """Returns the text of a chat's messages, in one stable form."""
+    """Serializes the messages of a chat to canonical JSON."""
     return json.dumps(messages, separators=(",", ":"), sort_keys=True)
 
 
 def count_tokens(text: str) -> int:
-    """Returns an estimate of a text's length in tokens."""
+    """Estimates the length of a text in tokens."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
 def prefix_blocks(text: str) -> tuple[int, ...]:
-    """Returns a hash of each leading part of a text, in whole blocks.
+    """Returns a hash of each prefix of a text that ends at a block.
 
-    Two prompts share as many leading hashes as they share whole blocks.
+    Two prompts share as many leading hashes as they share whole leading
+    blocks. A partial block at the end has no hash, and at most `MAX_BLOCKS`
+    blocks are hashed.
     """
     size = placement.BLOCK_TOKENS * CHARACTERS_PER_TOKEN
     blocks = []
--- a/martenjunction/callers/service.py
+++ b/martenjunction/callers/service.py
@@ -1,4 +1,4 @@
-"""What a daemon knows and does for callers, apart from HTTP itself."""
+"""Authentication, admission and execution of requests, without HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,14 +29,15 @@
 
 STALL_INTERVAL = 0.5
 
-# Parts of what the daemon may hold up to which each tier is taken in: the
-# lowest tier is turned away first, and the highest only when all is taken.
+# Utilization of the daemon, as a fraction of `max_held`, at which requests of
+# each tier are rejected: the lowest tier is shed first, and the highest only
+# at full capacity.
 HOLD_LIMITS = {1: 1.0, 2: 0.95, 3: 0.9, 4: 0.85}
 
-# Seconds after which a caller turned away by a full daemon may come back.
+# Seconds after which a caller rejected by an overloaded daemon may retry.
 FULL_RETRY_AFTER = 2.0
 
-# The same for a daemon whose planned stop has reached its limit.
+# The same for a daemon whose graceful shutdown has reached its time limit.
 LEAVING_RETRY_AFTER = 1.0
 
 
@@ -51,15 +52,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Parts:
-    """The parts of the daemon that serve callers.
+    """Components of the daemon that the service depends on.
 
     Attributes:
-        tools: What relays need.
-        claims: Keeps keyed requests from running twice.
-        clock: Tells the time.
+        tools: Components that relays depend on.
+        claims: Prevents requests with an idempotency key from running twice.
+        clock: The clock and its timers.
         numbers: Counters and histograms.
-        emitter: Where ended requests are announced.
-        entry: Returns the addresses that callers may use, the best first.
+        emitter: Publishes an event for each completed request.
+        entry: Returns the addresses that callers may use, best first.
     """
 
     tools: relay.Tools
@@ -71,16 +72,16 @@
 
 
 class CallerService:
-    """Keys, classes, limits and running requests."""
+    """Authenticates, classifies, admits and runs requests."""
 
     def __init__(
         self, settings: daemon_settings.DaemonSettings, parts: Parts
     ) -> None:
-        """Makes the service with an empty configuration.
+        """Initializes the service with an empty configuration.
 
         Args:
             settings: The daemon's settings.
-            parts: What it works with.
+            parts: Components that the service depends on.
         """
         self._settings = settings
         self._parts = parts
@@ -100,34 +101,34 @@
 
     @property
     def config(self) -> fleet.FleetConfig:
-        """The configuration in force."""
+        """The active configuration."""
         return self._config
 
     @property
     def classifier(self) -> classing.Classifier:
-        """Bindings and policies in force."""
+        """The classifier for the active bindings and policies."""
         return self._classifier
 
     @property
     def lengths(self) -> estimates.LengthEstimates:
-        """How long answers get."""
+        """Estimates of response lengths."""
         return self._lengths
 
     @property
     def relays(self) -> dict[str, relay.Relay]:
-        """Requests that are held now, to be read only."""
+        """In-flight requests by id; callers must not modify it."""
         return self._relays
 
     @property
     def held(self) -> float:
-        """The part of what the daemon may hold that is taken."""
+        """In-flight requests as a fraction of `max_held`."""
         return len(self._relays) / self._settings.max_held
 
     def set_config(self, config: fleet.FleetConfig) -> None:
-        """Puts a configuration in force for new requests."""
+        """Activates a configuration for new requests."""
         old = self._config
         self._config = config
-        # A table that did not change is the same object.
+        # A table that did not change is the same object in both versions.
         if config.workspace is not old.workspace:
             self._keys = keys.KeyTable(config)
         if (
@@ -138,14 +139,14 @@
             self._classifier = classing.Classifier(config)
 
     def start(self) -> None:
-        """Begins to look after running requests."""
+        """Starts the periodic check for stalled requests."""
         self._parts.clock.subscribe("stalls", STALL_INTERVAL, self._check)
 
     def authenticate(self, authorization: str) -> fleet.Workspace:
         """Returns the workspace of an `Authorization` header.
 
         Raises:
-            CallerError: If there is no such key.
+            CallerError: If the key is missing or unknown.
         """
         if not authorization:
             raise errors.CallerError(401, "no-key", "a key is required")
@@ -161,7 +162,7 @@
         """Returns the class of a request.
 
         Raises:
-            CallerError: If the configuration gives it none.
+            CallerError: If the configuration assigns no class to it.
         """
         try:
             return self._classifier.classify(workspace, facts)
@@ -171,34 +172,38 @@
     def expected_tokens(
         self, workspace: str, kind: str, limit: int | None
     ) -> float:
-        """Returns how long an answer is likely to get, in tokens."""
+        """Returns the expected length of a response in tokens."""
         return self._lengths.expected(workspace, kind, limit)
 
     def entry(self) -> list[EntryAddress]:
-        """Returns the addresses that callers may use, the best first."""
+        """Returns the addresses that callers may use, best first."""
         return self._parts.entry()
 
     def now(self) -> float:
-        """Returns seconds on the daemon's clock."""
+        """Returns the time of the daemon's clock in seconds."""
         return self._parts.clock.now()
 
     def make_relay(
         self, request: requests.RoutedRequest, sink: sinks.Sink
     ) -> relay.Relay:
-        """Takes a request in.
+        """Admits a request and returns its relay.
 
         Raises:
-            CallerError: If the daemon is too full for its tier, or ends.
+            CallerError: If the daemon is overloaded for the request's tier,
+                or shutting down.
         """
         if self._stopped:
             raise errors.CallerError(
-                503, "box-leaving", "this box leaves", LEAVING_RETRY_AFTER
+                503,
+                "box-leaving",
+                "this box is shutting down",
+                LEAVING_RETRY_AFTER,
             )
         tier = request.service_class.tier
         if self.held >= HOLD_LIMITS[tier]:
             self._parts.numbers.count("turned_away", tier=str(tier))
             raise errors.CallerError(
-                503, "box-full", "this box is full", FULL_RETRY_AFTER
+                503, "box-full", "this box is at capacity", FULL_RETRY_AFTER
             )
         made = relay.Relay(request, sink, self._parts.tools)
         self._relays[request.request_id] = made
@@ -206,7 +211,7 @@
         return made
 
     async def run(self, made: relay.Relay) -> results.Result:
-        """Takes a request to its end, and books how it went."""
+        """Runs an admitted request and records its result."""
         request = made.request
         action = eliot.start_task(
             action_type="request",
@@ -235,7 +240,7 @@
         return result
 
     async def wait_idle(self) -> None:
-        """Waits until no request is held."""
+        """Waits until no request is in flight."""
         await self._idle.wait()
 
     async def _run_claimed(self, made: relay.Relay) -> results.Result:
@@ -283,9 +288,10 @@
             held.check_stalled(now)
 
     def stop_all(self) -> None:
-        """Ends all held requests, when a planned stop takes too long.
+        """Stops all in-flight requests at the limit of a graceful shutdown.
 
-        Later ones are turned away: each is told before the process ends.
+        Later requests are rejected, so that each one gets a response before
+        the process ends.
         """
         self._stopped = True
         for held in list(self._relays.values()):
--- a/tests/caller_builders.py
+++ b/tests/caller_builders.py
@@ -1,6 +1,6 @@
-"""Callers whose bytes go out at once, and a box of the product's interface.
+"""Callers that write to their sockets directly, and a bench with one box.
 
-A test module takes the fixtures by assigning them to names of its own.
+A test module uses a fixture by assigning it to a module-level name.
 """
 
 import asyncio
@@ -27,32 +27,32 @@
 
 CALLERS = 12
 
-# Tokens of an answer that no test waits for.
+# Tokens of a response that does not complete within a test.
 ENDLESS = 100_000
 
-# Bytes of the socket buffers between the daemon and a caller who reads late.
+# Bytes of the socket buffers between the daemon and a slow reader.
 SOCKET_BYTES = 16 * 1024
 
-# Seconds of the idle and body times in these tests, and how long before their
-# end the bytes are sent.
+# Idle and body timeouts in these tests, and how long before a timeout the bytes
+# are sent, in seconds.
 SHORT = 0.5
 BEFORE_END = 0.1
 
-# Seconds for which the event loop is held up.
+# Seconds for which the event loop is blocked.
 HOLD_UP = 0.2
 
-# Longest wait for what has to happen, in seconds.
+# Timeout of every wait in these tests, in seconds.
 LIMIT = 20.0
 
 
-# The `pytestmark` of modules that take `event_loop_policy`. The other way, a
-# hook, would give every test of the project two ids.
+# The `pytestmark` of modules that use `event_loop_policy`. The alternative, a
+# pytest hook, would parametrize every test of the project.
 ON_EACH_LOOP = pytest.mark.filterwarnings(
     'ignore:Overriding the "event_loop_policy" fixture'
 )
 
 
-# The order of timers, bytes and tasks within a pass is each loop's own.
+# Each event loop has its own order of timers, I/O and tasks in an iteration.
 @pytest.fixture(
     params=[asyncio.DefaultEventLoopPolicy, uvloop.EventLoopPolicy],
     ids=["asyncio", "uvloop"],
@@ -66,7 +66,7 @@
 
 
 class Caller:
-    """A caller whose bytes go into the socket without a turn of the loop."""
+    """A caller that writes to its socket without yielding to the loop."""
 
     def __init__(self, address: str, buffer_bytes: int | None = None) -> None:
         host, _, port = address.partition(":")
@@ -100,7 +100,7 @@
         return bool(data)
 
     async def head(self) -> str:
-        """Reads an answer's head; empty if the connection ends before."""
+        """Reads a response head; empty if the connection closes first."""
         while b"\r\n\r\n" not in self._data:
             if not await self._more():
                 return ""
@@ -108,7 +108,7 @@
         return head.decode()
 
     async def answer(self) -> tuple[int, str, bytes]:
-        """Reads an answer with a length; status 0 if there is none."""
+        """Reads a response with a Content-Length; status 0 if none."""
         head = await self.head()
         if not head:
             return 0, "", b""
@@ -189,7 +189,7 @@
 def log_lines() -> Iterator[list[dict[str, Any]]]:
     lines: list[dict[str, Any]] = []
     eliot.add_destinations(lines.append)
-    # The first destination is given what was logged before it.
+    # Eliot replays earlier messages to the first destination.
     lines.clear()
     yield lines
     eliot.remove_destination(lines.append)
@@ -204,7 +204,7 @@
 
 
 async def callers_of(fleet: bench.Bench, count: int = CALLERS) -> list[Caller]:
-    """Returns callers whose connections have carried a request each."""
+    """Returns callers whose connections have served one request each."""
     made = [Caller(fleet.addresses[0]) for _ in range(count)]
     for caller in made:
         await caller.connect()
@@ -215,10 +215,13 @@
 
 
 async def ask_in_rounds(callers: list[Caller], rounds: int) -> None:
-    """Has all callers send a chat at once, again and again; all are served."""
+    """Sends a chat from all callers at once in each round.
+
+    Asserts that every request succeeds.
+    """
     for number in range(rounds):
         for caller in callers:
-            # Unlike prompts: none belongs where an earlier one was read.
+            # Distinct prompts, so that no cached prefix affects routing.
             text = f"{id(caller)} {number}" * 40
             caller.send(request(CHAT, chat(2, text, stream=False)))
         for caller in callers:
@@ -237,7 +240,7 @@
 
 
 def handlers_at_work() -> list[handlers.CallerHandler]:
-    """Returns the handlers of callers whose task has not ended."""
+    """Returns the caller handlers whose tasks are still running."""
     found = []
     for task in asyncio.all_tasks():
         frame = getattr(task.get_coro(), "cr_frame", None)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers who send what they should not, and engines that answer badly."""
+"""Invalid requests, slow readers, disconnects and the caller interface."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,10 +20,10 @@
 
 CHAT = "/v1/chat/completions"
 
-# Bytes of the socket buffers between the daemon and a caller in the tests.
+# Bytes of the socket buffers between the daemon and a caller.
 SOCKET_BYTES = 32 * 1024
 
-# The largest piece of a body that libcurl hands over at once.
+# The largest chunk of a body that libcurl delivers at once.
 CURL_CHUNK_BYTES = 16 * 1024
 
 
@@ -108,7 +108,7 @@
     try:
         head, _ = await send(http, fleet, body=body)
     except errors.EndpointBrokenError:
-        return  # The daemon closed while the caller still sent.
+        return  # The daemon closed while the caller was still sending.
     assert head.status == 413
 
 
@@ -159,7 +159,7 @@
 ) -> None:
     for stand_in in fleet.outside.engines.values():
         stand_in.speed = engine.EngineSpeed(step_s=0.0001)
-    # The system may give a socket many megabytes of buffer: fix them.
+    # The kernel may grow socket buffers to many megabytes: fix their size.
     for listening in fleet.daemons[0].listening_sockets():
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BYTES)
     host, _, port = fleet.addresses[0].partition(":")
@@ -179,8 +179,8 @@
     relays = fleet.daemons[0].callers.relays
     async with asyncio.timeout(30.0):
         seen = [0]
-        # The daemon has stopped reading when many looks in a row, each after
-        # it had its turns, find the same count.
+        # The daemon has stopped reading once 40 samples in a row, between
+        # which the event loop runs, have the same count.
         while seen[-1] == 0 or len(seen) < 40 or len(set(seen[-40:])) > 1:
             await asyncio.sleep(0.05)
             held = list(relays.values())
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -1,14 +1,11 @@
-"""Callers who leave, and connections closed before a request is taken in.
-
-Symptom: on a connection that had carried others before, a request was taken
-in, passed on to an endpoint, and its connection closed without an answer.
-
-Sequence: the event loop is held up; in one pass of it the bytes of a request
-arrive and their connection is closed, by the box or by a caller who leaves.
-
-Cause: whether a connection may be closed and whether a request was taken from
-it were decided in two places with no state between them. Figures stand with
-the same cause in `test_callers_times`.
+"""Disconnecting callers, and connections closed before a request is admitted.
+
+Guards against a request on a kept-alive connection that is admitted and sent
+to an endpoint although its connection is closed without a response. This
+happens if the event loop is blocked, and a single iteration then receives a
+request and closes its connection, by the box or because the caller
+disconnects, while closing connections and admitting requests share no state.
+`test_callers_times` has measured figures.
 """
 
 import asyncio
--- a/tests/test_callers_stop.py
+++ b/tests/test_callers_stop.py
@@ -1,16 +1,13 @@
-"""Connections of callers that end by a stop or an answer that breaks off.
-
-Symptom: on a connection that had carried others before, a request was taken
-in, passed on to an endpoint, and its connection closed without an answer.
-
-Sequence: a stop finds no request held while a body is still read or an answer
-still written, and closes the connection. Or the event loop is held up; in one
-pass of it the bytes of a request arrive and the end of a stop closes their
-connection.
-
-Cause: whether a connection may be closed and whether a request was taken from
-it were decided in two places with no state between them. Figures stand with
-the same cause in `test_callers_times`.
+"""Caller connections closed by a shutdown or an incomplete response.
+
+Guards against a request on a kept-alive connection that is admitted and sent
+to an endpoint although its connection is closed without a response. This
+happens if a shutdown finds no request in flight while a body is still being
+read or a response still being written, and closes the connection. It also
+happens if the event loop is blocked, and a single iteration then receives a
+request and closes its connection at the end of a shutdown, while closing
+connections and admitting requests share no state. `test_callers_times` has
+measured figures.
 """
 
 import asyncio
@@ -161,7 +158,8 @@
             builders.request(builders.CHAT, builders.chat(1, stream=False))
         )
     await builders.until_held(fleet, builders.CALLERS)
-    # Engines make the token, whose bytes then wait with the limit.
+    # Engines produce the token meanwhile; its bytes are pending when the
+    # limit is reached.
     time.sleep(builders.HOLD_UP)
     for _ in range(passes):
         await asyncio.sleep(0)
--- a/tests/test_callers_times.py
+++ b/tests/test_callers_times.py
@@ -1,15 +1,12 @@
-"""Connections of callers that end by their idle time or the time for a body.
-
-Symptom: on a connection that had carried others before, a request was taken
-in, passed on to an endpoint, and its connection closed without an answer.
-
-Sequence: the event loop is held up; in one pass of it the bytes of a request
-arrive and the connection's idle time closes it.
-
-Cause: whether a connection may be closed and whether a request was taken from
-it were decided in two places with no state between them. Measured with 12
-kept connections and the loop held up over the end of the idle time: 12
-requests read, 0 answered.
+"""Caller connections closed by the idle, head and body timeouts.
+
+Guards against a request on a kept-alive connection that is admitted and sent
+to an endpoint although its connection is closed without a response. This
+happens if the event loop is blocked, and a single iteration then receives a
+request and closes its connection on the idle timeout, while closing
+connections and admitting requests share no state. With 12 kept-alive
+connections and the loop blocked past the idle timeout, 12 requests were read
+and none was answered.
 """
 
 import asyncio
