--- a/martenjunction/callers/chat.py
+++ b/martenjunction/callers/chat.py
@@ -50,10 +50,10 @@
     async def post(self) -> None:
         """Validates a chat request, runs it and sends the response."""
         try:
-            raw, body = self._read()
-            request = self._route(raw, body)
-            sink: _StreamSink | _WholeSink
-            sink = _StreamSink(self) if body.stream else _WholeSink(self)
+            raw, body = self._parse_body()
+            request = self._make_request(raw, body)
+            sink: _StreamSink | _BufferedSink
+            sink = _StreamSink(self) if body.stream else _BufferedSink(self)
             self._relay = self.make_relay(request, sink)
         except errors.CallerError as error:
             self.fail(error)
@@ -62,22 +62,22 @@
         conversation = cast(runs.EngineConversation, self._relay.conversation)
         await sink.end(result, conversation)
 
-    def on_left(self) -> None:
+    def on_disconnect(self) -> None:
         """Cancels the run after the caller disconnected."""
         if self._relay is not None:
             self._relay.stop(broker.StopReason.CALLER_LEFT)
 
-    def _read(self) -> tuple[dict[str, Any], ChatBody]:
+    def _parse_body(self) -> tuple[dict[str, Any], ChatBody]:
         try:
             raw = json.loads(self.body)
             body = _BODY.validate_python(raw)
         except (ValueError, RecursionError) as error:
             raise errors.CallerError(
-                400, "bad-request", _reason(error)
+                400, "bad-request", _describe_error(error)
             ) from error
         return raw, body
 
-    def _route(
+    def _make_request(
         self, raw: dict[str, Any], body: ChatBody
     ) -> requests.RoutedRequest:
         callers = self.callers
@@ -97,22 +97,23 @@
             default_class="",
             labels=self.labels(),
         )
-        classed = callers.classify(self.workspace, facts)
-        once = http_headers.NOT_REPEATABLE in self.request.headers
+        classification = callers.classify(self.workspace, facts)
+        single_attempt = http_headers.NOT_REPEATABLE in self.request.headers
         return requests.RoutedRequest(
             request_id=self.request_id(),
             workspace=self.workspace.name,
             kind=kind,
             service=service,
-            service_class=classed.service_class,
-            repeatable=classed.service_class.repeatable and not once,
+            service_class=classification.service_class,
+            repeatable=classification.service_class.repeatable
+            and not single_attempt,
             arrived=callers.now(),
             prompt_tokens=facts.prompt_tokens,
             expected_tokens=callers.expected_tokens(
                 self.workspace.name, kind, body.max_tokens
             ),
             prefix=prompts.prefix_blocks(text),
-            zones=classed.zones,
+            zones=classification.zones,
             idempotency_key=self.request.headers.get(
                 http_headers.IDEMPOTENCY_KEY, ""
             ),
@@ -131,7 +132,7 @@
         """Sends the status and headers."""
         self._started = True
         handler = self._handler
-        handler.set_status(head.status, handlers.reason_of(head.status))
+        handler.set_status(head.status, handlers.reason_phrase(head.status))
         content_type = head.get("Content-Type") or "text/event-stream"
         handler.set_header("Content-Type", content_type)
         handler.set_header("Cache-Control", "no-store")
@@ -160,7 +161,7 @@
         await self._handler.finish()
 
 
-class _WholeSink:
+class _BufferedSink:
     """Buffers a response until it is complete."""
 
     def __init__(self, handler: ChatHandler) -> None:
@@ -197,15 +198,15 @@
 
 
 def _error_event(result: results.Result) -> bytes:
-    body = handlers.failure_body(
+    body = handlers.error_body(
         str(result.code), result.message, result.outcome, result.retry_after
     )
     return ERROR_EVENT.format(json.dumps(body)).encode()
 
 
-def _reason(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     if isinstance(error, pydantic.ValidationError):
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        return f"{place}: {first['msg']}" if place else str(first["msg"])
+        location = ".".join(str(part) for part in first["loc"])
+        return f"{location}: {first['msg']}" if location else str(first["msg"])
     return "the body is not JSON"
--- a/martenjunction/callers/handlers.py
+++ b/martenjunction/callers/handlers.py
@@ -73,17 +73,17 @@
     def on_connection_close(self) -> None:
         """Stops reading the body and cancels the work for the request."""
         super().on_connection_close()
-        self.on_left()
-        self._note_close()
+        self.on_disconnect()
+        self._log_daemon_close()
 
-    def on_left(self) -> None:
+    def on_disconnect(self) -> None:
         """Called if the connection closes before the response is complete."""
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Closes the connection in the middle of an incomplete response."""
-        broken = closings.CloseReason.ANSWER_BROKEN
-        http_server.cut_off(self.request.connection, broken)
-        self._note_close()
+        reason = closings.CloseReason.ANSWER_BROKEN
+        http_server.cut_off(self.request.connection, reason)
+        self._log_daemon_close()
 
     def make_relay(
         self, request: requests.RoutedRequest, sink: sinks.Sink
@@ -120,7 +120,7 @@
         if self._failed:
             return
         self._failed = True
-        self.write_failure(
+        self.write_error_response(
             error.status,
             error.code,
             str(error),
@@ -129,7 +129,7 @@
         )
         self.finish()
 
-    def write_failure(
+    def write_error_response(
         self,
         status: int,
         code: str,
@@ -152,7 +152,7 @@
         if retry_after is not None:
             seconds = max(1, round(retry_after))
             self.set_header(http_headers.RETRY_AFTER, str(seconds))
-        body = failure_body(code, message, outcome, retry_after)
+        body = error_body(code, message, outcome, retry_after)
         self.write(json.dumps(body).encode())
 
     def write_result(self, result: results.Result) -> None:
@@ -161,7 +161,7 @@
         Only valid while nothing of a response has been sent.
         """
         code = result.code or results.FailureCode.INTERNAL
-        self.write_failure(
+        self.write_error_response(
             results.STATUS[code],
             str(code),
             result.message,
@@ -176,7 +176,7 @@
             code = "not-found"
         if status_code == 405:
             code = "method-not-allowed"
-        self.write_failure(
+        self.write_error_response(
             status_code, code, self._reason, outcomes.Outcome.NOT_RUN
         )
         self.finish()
@@ -206,10 +206,10 @@
         """
         return self._request_id
 
-    def _note_close(self) -> None:
+    def _log_daemon_close(self) -> None:
         """Logs a connection that the daemon, not the caller, closed."""
-        why = http_server.close_reason(self.request.connection)
-        if why is not closings.CloseReason.CLIENT:
+        reason = http_server.close_reason(self.request.connection)
+        if reason is not closings.CloseReason.CLIENT:
             self._log_close(http_server.CLOSED)
 
     def _log_close(self, kind: str) -> None:
@@ -228,7 +228,7 @@
             raise _too_large(limit)
 
 
-def failure_body(
+def error_body(
     code: str,
     message: str,
     outcome: outcomes.Outcome,
@@ -251,6 +251,6 @@
     )
 
 
-def reason_of(status: int) -> str:
+def reason_phrase(status: int) -> str:
     """Returns the standard reason phrase of an HTTP status."""
     return http.client.responses.get(status, "Unknown")
--- a/martenjunction/callers/plain.py
+++ b/martenjunction/callers/plain.py
@@ -16,7 +16,7 @@
 from martenjunction.relay import sinks
 
 # Statuses whose responses have no body (RFC 9110, section 6.4.1).
-BODILESS = frozenset({204, 304})
+STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
 class PlainHandler(handlers.CallerHandler):
@@ -36,11 +36,11 @@
 
     async def get(self, name: str, path: str) -> None:
         """Forwards a call to a service."""
-        await self._pass_on(name, path)
+        await self._forward(name, path)
 
     head = post = delete = patch = put = options = get
 
-    def on_left(self) -> None:
+    def on_disconnect(self) -> None:
         """Cancels the call after the caller disconnected.
 
         A running call that may not be repeated continues to its end, as the
@@ -53,10 +53,10 @@
         else:
             self._relay.stop_after_run(broker.StopReason.CALLER_LEFT)
 
-    async def _pass_on(self, name: str, path: str) -> None:
+    async def _forward(self, name: str, path: str) -> None:
         sink = _PlainSink(self)
         try:
-            request = self._route(name, path)
+            request = self._make_request(name, path)
             self._relay = self.make_relay(request, sink)
         except errors.CallerError as error:
             self.fail(error)
@@ -64,7 +64,7 @@
         result = await self.callers.run(self._relay)
         await sink.end(result)
 
-    def _route(self, name: str, path: str) -> requests.RoutedRequest:
+    def _make_request(self, name: str, path: str) -> requests.RoutedRequest:
         callers = self.callers
         service = callers.config.service.get(name)
         if service is None or service.kind is not fleet.ServiceKind.PLAIN:
@@ -81,22 +81,22 @@
             default_class="",
             labels=self.labels(),
         )
-        classed = callers.classify(self.workspace, facts)
+        classification = callers.classify(self.workspace, facts)
         return requests.RoutedRequest(
             request_id=self.request_id(),
             workspace=self.workspace.name,
             kind=kind,
             service=service,
-            service_class=classed.service_class,
-            repeatable=self._is_repeatable(classed.service_class),
+            service_class=classification.service_class,
+            repeatable=self._is_repeatable(classification.service_class),
             arrived=callers.now(),
-            zones=classed.zones,
+            zones=classification.zones,
             idempotency_key=self.request.headers.get(
                 http_headers.IDEMPOTENCY_KEY, ""
             ),
             plain=requests.PlainCall(
                 self.request.method or "GET",
-                self._path(path),
+                self._target(path),
                 self.header_pairs(),
                 self.body or None,
             ),
@@ -109,7 +109,7 @@
             and http_headers.NOT_REPEATABLE not in self.request.headers
         )
 
-    def _path(self, path: str) -> str:
+    def _target(self, path: str) -> str:
         query = self.request.query
         return f"/{path}?{query}" if query else f"/{path}"
 
@@ -120,22 +120,24 @@
     def __init__(self, handler: PlainHandler) -> None:
         self._handler = handler
         self._started = False
-        self._bodiless = handler.request.method == "HEAD"
+        self._has_no_body = handler.request.method == "HEAD"
 
     async def start(self, head: streams.ResponseHead) -> None:
         """Sends the status and headers."""
         self._started = True
         handler = self._handler
-        reason = handlers.reason_of(head.status)
+        reason = handlers.reason_phrase(head.status)
         handler.set_status(head.status, reason)
         handler.clear_header("Content-Type")
         for name, value in http_headers.to_caller(head.headers):
             handler.add_header(name, value)
-        self._bodiless = self._bodiless or head.status in BODILESS
+        self._has_no_body = (
+            self._has_no_body or head.status in STATUSES_WITHOUT_BODY
+        )
 
     async def write(self, data: bytes) -> None:
         """Sends a chunk of the body."""
-        if self._bodiless:
+        if self._has_no_body:
             return
         try:
             self._handler.write(data)
@@ -148,7 +150,7 @@
         handler = self._handler
         failed = result.code is not None
         if failed and self._started:
-            handler.break_off()
+            handler.abort_response()
             return
         if result.code is results.FailureCode.CALLER_LEFT:
             return
--- a/martenjunction/callers/service.py
+++ b/martenjunction/callers/service.py
@@ -32,13 +32,13 @@
 # Utilization of the daemon, as a fraction of `max_held`, at which requests of
 # each tier are rejected: the lowest tier is shed first, and the highest only
 # at full capacity.
-HOLD_LIMITS = {1: 1.0, 2: 0.95, 3: 0.9, 4: 0.85}
+ADMISSION_LIMITS = {1: 1.0, 2: 0.95, 3: 0.9, 4: 0.85}
 
 # Seconds after which a caller rejected by an overloaded daemon may retry.
-FULL_RETRY_AFTER = 2.0
+OVERLOAD_RETRY_AFTER = 2.0
 
 # The same for a daemon whose graceful shutdown has reached its time limit.
-LEAVING_RETRY_AFTER = 1.0
+SHUTDOWN_RETRY_AFTER = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -116,7 +116,7 @@
 
     @property
     def relays(self) -> dict[str, relay.Relay]:
-        """In-flight requests by id; callers must not modify it."""
+        """In-flight requests by id, read-only."""
         return self._relays
 
     @property
@@ -126,21 +126,23 @@
 
     def set_config(self, config: fleet.FleetConfig) -> None:
         """Activates a configuration for new requests."""
-        old = self._config
+        previous = self._config
         self._config = config
         # A table that did not change is the same object in both versions.
-        if config.workspace is not old.workspace:
+        if config.workspace is not previous.workspace:
             self._keys = keys.KeyTable(config)
         if (
-            config.policy is not old.policy
-            or config.binding is not old.binding
-            or config.classes is not old.classes
+            config.policy is not previous.policy
+            or config.binding is not previous.binding
+            or config.classes is not previous.classes
         ):
             self._classifier = classing.Classifier(config)
 
     def start(self) -> None:
         """Starts the periodic check for stalled requests."""
-        self._parts.clock.subscribe("stalls", STALL_INTERVAL, self._check)
+        self._parts.clock.subscribe(
+            "stalls", STALL_INTERVAL, self._check_stalls
+        )
 
     def authenticate(self, authorization: str) -> fleet.Workspace:
         """Returns the workspace of an `Authorization` header.
@@ -197,22 +199,22 @@
                 503,
                 "box-leaving",
                 "this box is shutting down",
-                LEAVING_RETRY_AFTER,
+                SHUTDOWN_RETRY_AFTER,
             )
         tier = request.service_class.tier
-        if self.held >= HOLD_LIMITS[tier]:
+        if self.held >= ADMISSION_LIMITS[tier]:
             self._parts.numbers.count("turned_away", tier=str(tier))
             raise errors.CallerError(
-                503, "box-full", "this box is at capacity", FULL_RETRY_AFTER
+                503, "box-full", "this box is at capacity", OVERLOAD_RETRY_AFTER
             )
-        made = relay.Relay(request, sink, self._parts.tools)
-        self._relays[request.request_id] = made
+        admitted = relay.Relay(request, sink, self._parts.tools)
+        self._relays[request.request_id] = admitted
         self._idle.clear()
-        return made
+        return admitted
 
-    async def run(self, made: relay.Relay) -> results.Result:
+    async def run(self, admitted: relay.Relay) -> results.Result:
         """Runs an admitted request and records its result."""
-        request = made.request
+        request = admitted.request
         action = eliot.start_task(
             action_type="request",
             request_id=request.request_id,
@@ -221,7 +223,7 @@
             tier=request.service_class.tier,
         )
         try:
-            result = await self._run_claimed(made)
+            result = await self._run_claimed(admitted)
         except Exception as error:
             logger.exception("request %s failed", request.request_id)
             action.finish(error)
@@ -234,7 +236,7 @@
             del self._relays[request.request_id]
             if not self._relays:
                 self._idle.set()
-        self._book(request, result)
+        self._record_result(request, result)
         action.add_success_fields(**_log_fields(result))
         action.finish()
         return result
@@ -243,18 +245,18 @@
         """Waits until no request is in flight."""
         await self._idle.wait()
 
-    async def _run_claimed(self, made: relay.Relay) -> results.Result:
-        request = made.request
+    async def _run_claimed(self, admitted: relay.Relay) -> results.Result:
+        request = admitted.request
         if request.repeatable or not request.idempotency_key:
-            return await made.run()
-        refused = await self._parts.claims.claim(request)
-        if refused is not None:
-            return refused
-        result = await made.run()
+            return await admitted.run()
+        rejection = await self._parts.claims.claim(request)
+        if rejection is not None:
+            return rejection
+        result = await admitted.run()
         self._parts.claims.settle(request, result.outcome)
         return result
 
-    def _book(
+    def _record_result(
         self, request: requests.RoutedRequest, result: results.Result
     ) -> None:
         service_class = request.service_class
@@ -282,10 +284,10 @@
             self._lengths.add(request.workspace, request.kind, result.tokens)
         self._parts.emitter.emit(events.REQUEST_ENDED, request, result)
 
-    def _check(self) -> None:
+    def _check_stalls(self) -> None:
         now = self._parts.clock.now()
-        for held in list(self._relays.values()):
-            held.check_stalled(now)
+        for active in list(self._relays.values()):
+            active.check_stalled(now)
 
     def stop_all(self) -> None:
         """Stops all in-flight requests at the limit of a graceful shutdown.
@@ -294,8 +296,8 @@
         the process ends.
         """
         self._stopped = True
-        for held in list(self._relays.values()):
-            held.stop(broker.StopReason.TIME_LIMIT)
+        for active in list(self._relays.values()):
+            active.stop(broker.StopReason.TIME_LIMIT)
 
 
 def _log_fields(result: results.Result) -> dict[str, object]:
--- a/tests/caller_builders.py
+++ b/tests/caller_builders.py
@@ -23,30 +23,30 @@
 
 CHAT = "/v1/chat/completions"
 MODELS = "/v1/models"
-BOOKING = "/v1/services/weighbridge-app/tags"
+PLAIN_CALL = "/v1/services/weighbridge-app/tags"
 
 CALLERS = 12
 
 # Tokens of a response that does not complete within a test.
-ENDLESS = 100_000
+UNENDING_TOKENS = 100_000
 
 # Bytes of the socket buffers between the daemon and a slow reader.
 SOCKET_BYTES = 16 * 1024
 
 # Idle and body timeouts in these tests, and how long before a timeout the bytes
 # are sent, in seconds.
-SHORT = 0.5
-BEFORE_END = 0.1
+SHORT_TIMEOUT_S = 0.5
+LEAD_S = 0.1
 
 # Seconds for which the event loop is blocked.
-HOLD_UP = 0.2
+BLOCK_S = 0.2
 
 # Timeout of every wait in these tests, in seconds.
-LIMIT = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 # The `pytestmark` of modules that use `event_loop_policy`. The alternative, a
-# pytest hook, would parametrize every test of the project.
+# pytest hook, would give every test of the project two ids.
 ON_EACH_LOOP = pytest.mark.filterwarnings(
     'ignore:Overriding the "event_loop_policy" fixture'
 )
@@ -86,46 +86,46 @@
     def send(self, data: bytes) -> None:
         assert self._socket.send(data) == len(data)
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self._socket.close()
 
-    async def _more(self) -> bool:
+    async def _receive(self) -> bool:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 data = await loop.sock_recv(self._socket, 64 * 1024)
         except ConnectionResetError:
             return False
         self._data += data
         return bool(data)
 
-    async def head(self) -> str:
+    async def read_head(self) -> str:
         """Reads a response head; empty if the connection closes first."""
         while b"\r\n\r\n" not in self._data:
-            if not await self._more():
+            if not await self._receive():
                 return ""
         head, _, self._data = self._data.partition(b"\r\n\r\n")
         return head.decode()
 
-    async def answer(self) -> tuple[int, str, bytes]:
+    async def read_response(self) -> tuple[int, str, bytes]:
         """Reads a response with a Content-Length; status 0 if none."""
-        head = await self.head()
+        head = await self.read_head()
         if not head:
             return 0, "", b""
-        length = int(field(head, "Content-Length"))
-        while len(self._data) < length and await self._more():
+        length = int(header_value(head, "Content-Length"))
+        while len(self._data) < length and await self._receive():
             pass
         body, self._data = self._data[:length], self._data[length:]
         return int(head.split()[1]), head, body
 
-    async def rest(self) -> bytes:
+    async def read_remaining(self) -> bytes:
         """Reads until the daemon closes the connection."""
-        while await self._more():
+        while await self._receive():
             pass
         return self._data
 
 
-def field(head: str, name: str) -> str:
+def header_value(head: str, name: str) -> str:
     for line in head.split("\r\n")[1:]:
         key, _, value = line.partition(":")
         if key.lower() == name.lower():
@@ -195,7 +195,7 @@
     eliot.remove_destination(lines.append)
 
 
-def cut_off(lines: list[dict[str, Any]]) -> list[tuple[str, str]]:
+def closed_connections(lines: list[dict[str, Any]]) -> list[tuple[str, str]]:
     return [
         (line["request_id"], line["why"])
         for line in lines
@@ -210,7 +210,7 @@
         await caller.connect()
         caller.send(request(MODELS))
     for caller in made:
-        assert (await caller.answer())[0] == 200
+        assert (await caller.read_response())[0] == 200
     return made
 
 
@@ -225,21 +225,21 @@
             text = f"{id(caller)} {number}" * 40
             caller.send(request(CHAT, chat(2, text, stream=False)))
         for caller in callers:
-            assert (await caller.answer())[0] == 200
+            assert (await caller.read_response())[0] == 200
 
 
-async def until_held(fleet: bench.Bench, count: int) -> None:
-    async with asyncio.timeout(LIMIT):
+async def wait_until_in_flight(fleet: bench.Bench, count: int) -> None:
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while len(fleet.daemons[0].callers.relays) != count:
             await asyncio.sleep(0.01)
 
 
-def started(fleet: bench.Bench) -> int:
+def started_runs(fleet: bench.Bench) -> int:
     engines = fleet.outside.engines.values()
     return sum(sum(e.counts.started.values()) for e in engines)
 
 
-def handlers_at_work() -> list[handlers.CallerHandler]:
+def running_handlers() -> list[handlers.CallerHandler]:
     """Returns the caller handlers whose tasks are still running."""
     found = []
     for task in asyncio.all_tasks():
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -86,7 +86,7 @@
         ({"method": "GET", "body": None}, 405, "method-not-allowed"),
     ],
 )
-async def test_bad_requests_are_told_and_not_run(
+async def test_invalid_requests_are_rejected_and_not_run(
     fleet: bench.Bench,
     http: client.EndpointClient,
     changes: dict[str, Any],
@@ -112,7 +112,7 @@
     assert head.status == 413
 
 
-async def test_endless_headers_are_cut_off(fleet: bench.Bench) -> None:
+async def test_oversized_headers_are_rejected(fleet: bench.Bench) -> None:
     host, _, port = fleet.addresses[0].partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"POST /v1/chat/completions HTTP/1.1\r\n")
@@ -127,7 +127,7 @@
     writer.close()
 
 
-async def test_whole_answer(
+async def test_buffered_response(
     fleet: bench.Bench, http: client.EndpointClient
 ) -> None:
     body = question(stream=False)
@@ -139,7 +139,7 @@
     assert answer["usage"] == {"completion_tokens": 20}
 
 
-async def test_caller_who_leaves_cancels_the_run(
+async def test_disconnect_cancels_the_run(
     fleet: bench.Bench, http: client.EndpointClient
 ) -> None:
     url = f"http://{fleet.addresses[0]}{CHAT}"
@@ -154,7 +154,7 @@
     assert not fleet.daemons[0].callers.relays
 
 
-async def test_caller_who_never_reads_is_not_buffered_without_bound(
+async def test_buffer_for_a_caller_that_never_reads_is_bounded(
     fleet: bench.Bench,
 ) -> None:
     for stand_in in fleet.outside.engines.values():
@@ -192,7 +192,7 @@
     own.close()
 
 
-async def test_hop_by_hop_headers_are_not_passed_on(
+async def test_hop_by_hop_headers_are_not_forwarded(
     fleet: bench.Bench, http: client.EndpointClient
 ) -> None:
     head, data = await send(
@@ -225,7 +225,7 @@
     assert [row["id"] for row in json.loads(data)["data"]] == ["vintage-lm"]
 
 
-async def test_dump_needs_the_key_and_holds_no_secret(
+async def test_dump_requires_the_key_and_contains_no_secret(
     fleet: bench.Bench, http: client.EndpointClient
 ) -> None:
     address = fleet.daemons[0].settings.operators
@@ -237,7 +237,7 @@
         assert secret not in text
 
 
-async def test_metrics_are_in_the_prometheus_form(
+async def test_metrics_are_in_the_prometheus_format(
     fleet: bench.Bench, http: client.EndpointClient
 ) -> None:
     await send(http, fleet, body=json.dumps(question()).encode())
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -33,110 +33,116 @@
     callers = await builders.callers_of(fleet)
     for caller in callers:
         caller.send(
-            builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+            builders.request(
+                builders.CHAT, builders.chat(builders.UNENDING_TOKENS)
+            )
         )
-    time.sleep(builders.HOLD_UP)
+    time.sleep(builders.BLOCK_S)
     for _ in range(passes):
         await asyncio.sleep(0)
     held = len(fleet.daemons[0].callers.relays)
     await fleet.daemons[0].stop()
     fleet.daemons.clear()
-    await asyncio.sleep(builders.HOLD_UP)
-    assert builders.started(fleet) <= held
+    await asyncio.sleep(builders.BLOCK_S)
+    assert builders.started_runs(fleet) <= held
 
 
-async def test_request_whose_caller_left_is_not_run(
+async def test_request_of_a_disconnected_caller_is_not_run(
     fleet: bench.Bench,
 ) -> None:
     callers = await builders.callers_of(fleet)
     for caller in callers:
         caller.send(
-            builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+            builders.request(
+                builders.CHAT, builders.chat(builders.UNENDING_TOKENS)
+            )
         )
-        caller.leave()
-    time.sleep(builders.HOLD_UP)
-    await asyncio.sleep(builders.HOLD_UP)
-    assert builders.started(fleet) == 0
+        caller.disconnect()
+    time.sleep(builders.BLOCK_S)
+    await asyncio.sleep(builders.BLOCK_S)
+    assert builders.started_runs(fleet) == 0
     assert not fleet.daemons[0].callers.relays
 
 
-async def test_waiting_call_whose_caller_left_is_not_sent(
+async def test_queued_call_of_a_disconnected_caller_is_not_sent(
     fleet: bench.Bench,
 ) -> None:
     (service,) = fleet.outside.plains.values()
-    service.faults = plain.PlainFaults(delay_s=builders.SHORT)
+    service.faults = plain.PlainFaults(delay_s=builders.SHORT_TIMEOUT_S)
     running_call, waiting_call = await builders.callers_of(fleet, 2)
     for caller, booking in ((running_call, "first"), (waiting_call, "second")):
         caller.send(
             builders.request(
-                builders.BOOKING, b"lot", {plain.BOOKING_HEADER: booking}
+                builders.PLAIN_CALL, b"lot", {plain.BOOKING_HEADER: booking}
             )
         )
-        await asyncio.sleep(builders.BEFORE_END)
-    await builders.until_held(fleet, 2)
-    waiting_call.leave()
-    assert (await running_call.head()).startswith("HTTP/1.1 200")
-    await builders.until_held(fleet, 0)
+        await asyncio.sleep(builders.LEAD_S)
+    await builders.wait_until_in_flight(fleet, 2)
+    waiting_call.disconnect()
+    assert (await running_call.read_head()).startswith("HTTP/1.1 200")
+    await builders.wait_until_in_flight(fleet, 0)
     assert service.runs == {"first": 1}
 
 
-async def test_running_call_whose_caller_left_goes_on(
+async def test_running_call_of_a_disconnected_caller_continues(
     fleet: bench.Bench,
 ) -> None:
     (service,) = fleet.outside.plains.values()
-    service.faults = plain.PlainFaults(delay_s=builders.SHORT)
+    service.faults = plain.PlainFaults(delay_s=builders.SHORT_TIMEOUT_S)
     (caller,) = await builders.callers_of(fleet, 1)
     caller.send(
         builders.request(
-            builders.BOOKING, b"lot", {plain.BOOKING_HEADER: "first"}
+            builders.PLAIN_CALL, b"lot", {plain.BOOKING_HEADER: "first"}
         )
     )
-    async with asyncio.timeout(builders.LIMIT):
+    async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
         while not service.running:
             await asyncio.sleep(0.01)
-    caller.leave()
-    await asyncio.sleep(builders.BEFORE_END)
+    caller.disconnect()
+    await asyncio.sleep(builders.LEAD_S)
     assert len(fleet.daemons[0].callers.relays) == 1
-    await builders.until_held(fleet, 0)
+    await builders.wait_until_in_flight(fleet, 0)
     assert service.runs == {"first": 1}
 
 
-async def test_request_whose_caller_left_as_it_was_granted_is_not_run(
+async def test_request_disconnected_when_its_slot_is_granted_is_not_run(
     fleet: bench.Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     relays = fleet.daemons[0].callers.relays
     granted: list[str] = []
     put = mailbox.Mailbox.put
 
-    def put_and_leave(box: mailbox.Mailbox[Any], item: Any) -> None:
+    def put_and_disconnect(box: mailbox.Mailbox[Any], item: Any) -> None:
         put(box, item)
         if isinstance(item, messages.PlaceGranted):
             granted.append(item.request_id)
             relays[item.request_id].stop(broker.StopReason.CALLER_LEFT)
 
-    monkeypatch.setattr(mailbox.Mailbox, "put", put_and_leave)
+    monkeypatch.setattr(mailbox.Mailbox, "put", put_and_disconnect)
     callers = await builders.callers_of(fleet)
     for caller in callers:
         caller.send(
-            builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+            builders.request(
+                builders.CHAT, builders.chat(builders.UNENDING_TOKENS)
+            )
         )
-    async with asyncio.timeout(builders.LIMIT):
+    async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
         while len(granted) < builders.CALLERS:
             await asyncio.sleep(0.01)
-    await builders.until_held(fleet, 0)
-    await asyncio.sleep(builders.HOLD_UP)
-    assert builders.started(fleet) == 0
+    await builders.wait_until_in_flight(fleet, 0)
+    await asyncio.sleep(builders.BLOCK_S)
+    assert builders.started_runs(fleet) == 0
 
 
-async def test_handler_ends_when_its_caller_leaves_within_a_body(
+async def test_handler_ends_when_its_caller_disconnects_within_a_body(
     fleet: bench.Bench,
 ) -> None:
     callers = await builders.callers_of(fleet)
     for caller in callers:
         caller.send(builders.request(builders.CHAT, builders.chat(5))[:-10])
-    await asyncio.sleep(builders.BEFORE_END)
-    assert len(builders.handlers_at_work()) == builders.CALLERS
+    await asyncio.sleep(builders.LEAD_S)
+    assert len(builders.running_handlers()) == builders.CALLERS
     for caller in callers:
-        caller.leave()
-    await asyncio.sleep(builders.BEFORE_END)
-    assert not builders.handlers_at_work()
+        caller.disconnect()
+    await asyncio.sleep(builders.LEAD_S)
+    assert not builders.running_handlers()
--- a/tests/test_callers_stop.py
+++ b/tests/test_callers_stop.py
@@ -30,7 +30,7 @@
 log_lines = builders.log_lines
 
 
-async def test_stop_waits_for_a_request_that_is_being_read(
+async def test_shutdown_waits_for_a_request_that_is_being_read(
     fleet: bench.Bench,
 ) -> None:
     callers = await builders.callers_of(fleet, 2)
@@ -43,32 +43,38 @@
     callers[0].send(whole[in_head:])
     callers[1].send(whole[in_body:])
     for caller in callers:
-        status, head, _ = await caller.answer()
-        assert (status, builders.field(head, "Connection")) == (200, "close")
-    async with asyncio.timeout(builders.LIMIT):
+        status, head, _ = await caller.read_response()
+        assert (status, builders.header_value(head, "Connection")) == (
+            200,
+            "close",
+        )
+    async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
         await drain
 
 
-async def test_connections_are_not_kept_once_a_stop_began(
+async def test_connections_are_not_kept_alive_during_a_shutdown(
     fleet: bench.Bench,
 ) -> None:
-    resting, holding = await builders.callers_of(fleet, 2)
-    holding.send(
+    idle, active = await builders.callers_of(fleet, 2)
+    active.send(
         builders.request(builders.CHAT, builders.chat(60, stream=False))
     )
-    await builders.until_held(fleet, 1)
+    await builders.wait_until_in_flight(fleet, 1)
     drain = asyncio.ensure_future(fleet.daemons[0].drain())
     await asyncio.sleep(0)
-    resting.send(builders.request(builders.MODELS))
-    for caller in (resting, holding):
-        status, head, _ = await caller.answer()
-        assert (status, builders.field(head, "Connection")) == (200, "close")
-        assert await caller.rest() == b""
-    async with asyncio.timeout(builders.LIMIT):
+    idle.send(builders.request(builders.MODELS))
+    for caller in (idle, active):
+        status, head, _ = await caller.read_response()
+        assert (status, builders.header_value(head, "Connection")) == (
+            200,
+            "close",
+        )
+        assert await caller.read_remaining() == b""
+    async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
         await drain
 
 
-async def test_stop_waits_for_the_last_byte_of_an_answer(
+async def test_shutdown_waits_for_the_last_byte_of_a_response(
     fleet: bench.Bench,
 ) -> None:
     for stand_in in fleet.outside.engines.values():
@@ -82,74 +88,80 @@
     caller.send(
         builders.request(builders.CHAT, builders.chat(20_000, stream=False))
     )
-    await builders.until_held(fleet, 1)
-    await builders.until_held(fleet, 0)
+    await builders.wait_until_in_flight(fleet, 1)
+    await builders.wait_until_in_flight(fleet, 0)
     drain = asyncio.ensure_future(fleet.daemons[0].drain())
     await asyncio.wait({drain}, timeout=1.0)
-    status, head, body = await caller.answer()
+    status, head, body = await caller.read_response()
     assert status == 200
-    assert len(body) == int(builders.field(head, "Content-Length"))
-    async with asyncio.timeout(builders.LIMIT):
+    assert len(body) == int(builders.header_value(head, "Content-Length"))
+    async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
         await drain
 
 
-async def test_stop_at_its_limit_answers_each_held_request() -> None:
+async def test_drain_limit_answers_each_request_in_flight() -> None:
     async with builders.running(
-        builders.spec(drain_limit=builders.SHORT)
+        builders.spec(drain_limit=builders.SHORT_TIMEOUT_S)
     ) as fleet:
         callers = await builders.callers_of(fleet)
         whole, streamed = callers[:6], callers[6:]
         for caller in whole:
             caller.send(
                 builders.request(
-                    builders.CHAT, builders.chat(builders.ENDLESS, stream=False)
+                    builders.CHAT,
+                    builders.chat(builders.UNENDING_TOKENS, stream=False),
                 )
             )
         for caller in streamed:
             caller.send(
-                builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+                builders.request(
+                    builders.CHAT, builders.chat(builders.UNENDING_TOKENS)
+                )
             )
-        await builders.until_held(fleet, builders.CALLERS)
+        await builders.wait_until_in_flight(fleet, builders.CALLERS)
         for caller in streamed:
-            assert "200" in await caller.head()
+            assert "200" in await caller.read_head()
         await fleet.daemons[0].drain()
         for caller in whole:
-            status, head, _ = await caller.answer()
+            status, head, _ = await caller.read_response()
             assert status == 504
-            assert builders.field(head, http_headers.OUTCOME) == "ran-partly"
+            assert (
+                builders.header_value(head, http_headers.OUTCOME)
+                == "ran-partly"
+            )
         for caller in streamed:
-            data = await caller.rest()
+            data = await caller.read_remaining()
             assert b"event: error\n" in data
             assert data.endswith(b"0\r\n\r\n")
 
 
-async def test_stop_at_its_limit_tells_a_late_request_that_it_was_not_run() -> (
-    None
-):
+async def test_drain_limit_rejects_a_late_request_as_not_run() -> None:
     async with builders.running(
-        builders.spec(drain_limit=builders.SHORT)
+        builders.spec(drain_limit=builders.SHORT_TIMEOUT_S)
     ) as fleet:
-        caller, holding = await builders.callers_of(fleet, 2)
+        caller, active = await builders.callers_of(fleet, 2)
         whole = builders.request(builders.CHAT, builders.chat(5, stream=False))
         caller.send(whole[:-10])
-        holding.send(
-            builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+        active.send(
+            builders.request(
+                builders.CHAT, builders.chat(builders.UNENDING_TOKENS)
+            )
         )
-        await builders.until_held(fleet, 1)
+        await builders.wait_until_in_flight(fleet, 1)
         drain = asyncio.ensure_future(fleet.daemons[0].drain())
-        await builders.until_held(fleet, 0)
+        await builders.wait_until_in_flight(fleet, 0)
         caller.send(whole[-10:])
-        status, head, _ = await caller.answer()
-        assert (status, builders.field(head, http_headers.OUTCOME)) == (
+        status, head, _ = await caller.read_response()
+        assert (status, builders.header_value(head, http_headers.OUTCOME)) == (
             503,
             "not-run",
         )
-        async with asyncio.timeout(builders.LIMIT):
+        async with asyncio.timeout(builders.WAIT_TIMEOUT_S):
             await drain
 
 
 @pytest.mark.parametrize("passes", range(8))
-async def test_answer_that_meets_the_limit_of_a_stop_is_told_one_way(
+async def test_response_racing_with_the_drain_limit_is_consistent(
     fleet: bench.Bench, passes: int
 ) -> None:
     callers = await builders.callers_of(fleet)
@@ -157,16 +169,16 @@
         caller.send(
             builders.request(builders.CHAT, builders.chat(1, stream=False))
         )
-    await builders.until_held(fleet, builders.CALLERS)
+    await builders.wait_until_in_flight(fleet, builders.CALLERS)
     # Engines produce the token meanwhile; its bytes are pending when the
     # limit is reached.
-    time.sleep(builders.HOLD_UP)
+    time.sleep(builders.BLOCK_S)
     for _ in range(passes):
         await asyncio.sleep(0)
     fleet.daemons[0].callers.stop_all()
     for caller in callers:
-        status, head, body = await caller.answer()
-        outcome = builders.field(head, http_headers.OUTCOME)
+        status, head, body = await caller.read_response()
+        outcome = builders.header_value(head, http_headers.OUTCOME)
         if status == 200:
             assert json.loads(body)["usage"] == {"completion_tokens": 1}
         else:
@@ -174,29 +186,29 @@
             assert outcome in ("not-run", "unknown", "ran-partly")
 
 
-async def test_stop_at_once_logs_the_requests_that_it_cuts_off(
+async def test_immediate_stop_logs_the_requests_that_it_aborts(
     fleet: bench.Bench, log_lines: list[dict[str, Any]]
 ) -> None:
     (caller,) = await builders.callers_of(fleet, 1)
     caller.send(
-        builders.request(builders.CHAT, builders.chat(builders.ENDLESS))
+        builders.request(builders.CHAT, builders.chat(builders.UNENDING_TOKENS))
     )
-    await builders.until_held(fleet, 1)
+    await builders.wait_until_in_flight(fleet, 1)
     (held,) = fleet.daemons[0].callers.relays
     await fleet.daemons[0].stop()
     fleet.daemons.clear()
-    assert builders.cut_off(log_lines) == [(held, "stop")]
+    assert builders.closed_connections(log_lines) == [(held, "stop")]
 
 
-async def test_answer_that_breaks_off_is_logged_with_its_id(
+async def test_incomplete_response_is_logged_with_its_request_id(
     fleet: bench.Bench, log_lines: list[dict[str, Any]]
 ) -> None:
     (service,) = fleet.outside.plains.values()
     service.faults = plain.PlainFaults(break_off=True)
     (caller,) = await builders.callers_of(fleet, 1)
-    caller.send(builders.request(builders.BOOKING, b"lot"))
-    await builders.until_held(fleet, 1)
+    caller.send(builders.request(builders.PLAIN_CALL, b"lot"))
+    await builders.wait_until_in_flight(fleet, 1)
     (held,) = fleet.daemons[0].callers.relays
-    assert (await caller.head()).startswith("HTTP/1.1 200")
-    assert not (await caller.rest()).endswith(b"0\r\n\r\n")
-    assert builders.cut_off(log_lines) == [(held, "answer-broken")]
+    assert (await caller.read_head()).startswith("HTTP/1.1 200")
+    assert not (await caller.read_remaining()).endswith(b"0\r\n\r\n")
+    assert builders.closed_connections(log_lines) == [(held, "answer-broken")]
--- a/tests/test_callers_times.py
+++ b/tests/test_callers_times.py
@@ -23,78 +23,80 @@
 event_loop_policy = builders.event_loop_policy
 
 
-async def test_request_before_the_end_of_the_idle_time_is_answered(
+async def test_request_before_the_idle_timeout_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT)
+    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
         callers = await builders.callers_of(fleet)
-        await asyncio.sleep(builders.SHORT - builders.BEFORE_END)
+        await asyncio.sleep(builders.SHORT_TIMEOUT_S - builders.LEAD_S)
         for caller in callers:
             caller.send(builders.request(builders.MODELS))
-        time.sleep(builders.HOLD_UP)
-        statuses = [(await caller.answer())[0] for caller in callers]
+        time.sleep(builders.BLOCK_S)
+        statuses = [(await caller.read_response())[0] for caller in callers]
     assert statuses == [200] * builders.CALLERS
 
 
-async def test_connection_that_rests_is_closed_at_its_idle_time(
+async def test_idle_connection_is_closed_at_the_idle_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT)
+    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
         for caller in await builders.callers_of(fleet):
-            assert await caller.rest() == b""
+            assert await caller.read_remaining() == b""
 
 
-async def test_head_that_has_begun_gets_its_own_time(
+async def test_started_head_has_its_own_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT)
-    monkeypatch.setattr(http_server, "HEAD_TIMEOUT", 2 * builders.SHORT)
+    monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT_TIMEOUT_S)
+    monkeypatch.setattr(
+        http_server, "HEAD_TIMEOUT", 2 * builders.SHORT_TIMEOUT_S
+    )
     async with builders.running(builders.spec()) as fleet:
         late, never = await builders.callers_of(fleet, 2)
         whole = builders.request(builders.MODELS)
         for caller in (late, never):
             caller.send(whole[:20])
-        await asyncio.sleep(2 * builders.SHORT)
+        await asyncio.sleep(2 * builders.SHORT_TIMEOUT_S)
         late.send(whole[20:])
-        assert (await late.answer())[0] == 200
-        status, head, _ = await never.answer()
-        assert (status, builders.field(head, http_headers.OUTCOME)) == (
+        assert (await late.read_response())[0] == 200
+        status, head, _ = await never.read_response()
+        assert (status, builders.header_value(head, http_headers.OUTCOME)) == (
             408,
             "not-run",
         )
-        assert await never.rest() == b""
+        assert await never.read_remaining() == b""
 
 
-async def test_body_before_the_end_of_its_time_is_taken(
+async def test_body_before_the_body_timeout_is_accepted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT)
+    monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
         callers = await builders.callers_of(fleet)
         whole = builders.request(builders.CHAT, builders.chat(5, stream=False))
         for caller in callers:
             caller.send(whole[:-10])
-        await asyncio.sleep(builders.SHORT - builders.BEFORE_END)
+        await asyncio.sleep(builders.SHORT_TIMEOUT_S - builders.LEAD_S)
         for caller in callers:
             caller.send(whole[-10:])
-        time.sleep(builders.HOLD_UP)
-        statuses = [(await caller.answer())[0] for caller in callers]
+        time.sleep(builders.BLOCK_S)
+        statuses = [(await caller.read_response())[0] for caller in callers]
     assert statuses == [200] * builders.CALLERS
 
 
-async def test_body_that_does_not_come_is_told_not_run(
+async def test_missing_body_is_reported_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT)
+    monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
         (caller,) = await builders.callers_of(fleet, 1)
         caller.send(builders.request(builders.CHAT, builders.chat(5))[:-10])
-        status, head, _ = await caller.answer()
-        assert (status, builders.field(head, http_headers.OUTCOME)) == (
+        status, head, _ = await caller.read_response()
+        assert (status, builders.header_value(head, http_headers.OUTCOME)) == (
             408,
             "not-run",
         )
-        assert builders.field(head, "Connection") == "close"
-        assert await caller.rest() == b""
+        assert builders.header_value(head, "Connection") == "close"
+        assert await caller.read_remaining() == b""
