--- a/martenjunction/config/__init__.py
+++ b/martenjunction/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of a daemon and the configuration of the fleet."""
+"""Settings of a daemon and configuration of the fleet."""
--- a/martenjunction/config/fleet.py
+++ b/martenjunction/config/fleet.py
@@ -1,4 +1,4 @@
-"""The configuration of the fleet: what operators create and bind."""
+"""The fleet configuration: services, endpoints, classes and policies."""
 
 import dataclasses
 import enum
@@ -16,27 +16,28 @@
 
 FORBID = pydantic.ConfigDict(extra="forbid")
 
-# The kinds of section, and of object in the platform, by name.
+# Section types of a configuration file, and object types of the platform, by
+# name.
 section_kinds: registry.Registry[type[Any]] = registry.Registry("section")
 
 ANY_KIND = "*"
 
-# What the keys of configuration objects in the platform begin with.
+# Prefix of the keys of configuration objects in the platform.
 KEY_PREFIX = "config/"
 
-# Attributes of FleetConfig whose names differ from their section's.
+# FleetConfig attributes whose names differ from those of their sections.
 _ATTRIBUTES = {"class": "classes"}
 
 
 class ServiceKind(enum.StrEnum):
-    """What stands behind a service."""
+    """The type of a service's endpoints."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class CellSpan(enum.StrEnum):
-    """From where the endpoints of one cell may come."""
+    """The area from which a cell may take its endpoints."""
 
     REGION = "region"
     ZONE = "zone"
@@ -45,7 +46,7 @@
 @section_kinds.register("service")
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """Endpoints that can stand in for one another.
+    """A group of interchangeable endpoints.
 
     Attributes:
         name: The name that callers use for a plain service.
@@ -68,7 +69,7 @@
 @section_kinds.register("endpoint")
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """One engine or server that answers requests.
+    """An engine or server that processes requests.
 
     Attributes:
         name: Its name.
@@ -92,7 +93,7 @@
 @section_kinds.register("class")
 @dataclasses.dataclass(frozen=True)
 class ServiceClass:
-    """A promise to a kind of traffic.
+    """Service objectives and limits for a class of requests.
 
     Attributes:
         name: Its name.
@@ -126,7 +127,7 @@
 @section_kinds.register("workspace")
 @dataclasses.dataclass(frozen=True)
 class Workspace:
-    """A customer of the system.
+    """A workspace, which owns API keys.
 
     Attributes:
         name: Its name.
@@ -144,7 +145,7 @@
 @section_kinds.register("binding")
 @dataclasses.dataclass(frozen=True)
 class Binding:
-    """Binds a workspace's requests of one kind to a class.
+    """Assigns a class to requests of one kind from a workspace.
 
     Attributes:
         name: Its name.
@@ -164,7 +165,7 @@
 @section_kinds.register("policy")
 @dataclasses.dataclass(frozen=True)
 class Policy:
-    """An operator's program.
+    """A Starlark program that classifies requests.
 
     Attributes:
         name: Its name.
@@ -181,7 +182,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class FleetConfig:
-    """Everything that is in force at one moment.
+    """A complete snapshot of the active configuration.
 
     Each attribute maps names to one kind of section.
     """
@@ -194,20 +195,20 @@
     policy: dict[str, Policy] = dataclasses.field(default_factory=dict)
 
     def service_for_model(self, model: str) -> Service | None:
-        """Returns the service that answers for a model."""
+        """Returns the service that serves a model, or None."""
         for service in self.service.values():
             if model in service.models:
                 return service
         return None
 
     def endpoints_of(self, service: str) -> list[Endpoint]:
-        """Returns a service's endpoints."""
+        """Returns the endpoints of a service."""
         return [e for e in self.endpoint.values() if e.service == service]
 
 
 @dataclasses.dataclass(frozen=True)
 class Document:
-    """One section, as it is kept in the platform.
+    """A section as it is stored in the platform.
 
     Attributes:
         kind: The kind of section.
@@ -242,7 +243,7 @@
 
 
 def parse(section: ini.Section) -> tuple[Document, Any]:
-    """Turns a section titled `kind name` into a document and its value.
+    """Parses a section titled `kind name` into a document and its value.
 
     Raises:
         SettingsError: If the section is not valid.
@@ -258,7 +259,7 @@
         )
     if not name or "/" in name:
         raise errors.SettingsError(
-            "write the kind and a name without a slash",
+            "the title must be a kind and a name without a slash",
             section.file,
             section.title,
         )
@@ -267,7 +268,7 @@
 
 
 def parse_document(document: Document) -> Any:
-    """Checks a document that came from the platform or a peer.
+    """Validates a document received from the platform or a peer.
 
     Raises:
         SettingsError: If it is not valid.
@@ -277,7 +278,7 @@
 
 
 def to_ini(documents: list[Document]) -> str:
-    """Returns documents in the form of an INI file that can be read again."""
+    """Serializes documents to an INI file that `read` accepts."""
     lines = []
     for document in documents:
         lines.append(f"[{document.kind} {document.name}]")
@@ -289,7 +290,7 @@
 
 
 def build(values: list[Any]) -> FleetConfig:
-    """Builds the configuration from checked values."""
+    """Builds a configuration from validated values."""
     config = FleetConfig()
     by_type = {section_kinds.get(kind): kind for kind in section_kinds}
     for value in values:
@@ -299,10 +300,10 @@
 
 
 def read(paths: list[str]) -> tuple[list[Document], FleetConfig]:
-    """Reads configuration files and checks them together.
+    """Reads configuration files and validates them as a whole.
 
     Raises:
-        SettingsError: At the first mistake.
+        SettingsError: On the first error found.
     """
     documents: list[Document] = []
     values: list[Any] = []
@@ -312,7 +313,9 @@
             document, value = parse(programs.include(section))
             if document.key in seen:
                 raise errors.SettingsError(
-                    f"also in {seen[document.key].file}", path, section.title
+                    f"already defined in {seen[document.key].file}",
+                    path,
+                    section.title,
                 )
             seen[document.key] = section
             documents.append(document)
@@ -327,13 +330,13 @@
 
 
 def replace(config: FleetConfig, values: dict[str, Any]) -> FleetConfig:
-    """Returns a configuration with some objects changed.
+    """Returns a copy of a configuration with some objects replaced.
 
     Only the tables of the kinds that changed are copied.
 
     Args:
-        config: What was in force.
-        values: Object keys to checked values; None takes an object out.
+        config: The configuration to copy.
+        values: Validated values by object key; None removes an object.
     """
     tables: dict[str, dict[str, Any]] = {}
     for key, value in values.items():
--- a/martenjunction/config/ini.py
+++ b/martenjunction/config/ini.py
@@ -1,4 +1,4 @@
-"""Reads INI files and turns every mistake into one clear line."""
+"""Reads INI files and reports each error on a single line."""
 
 import configparser
 import dataclasses
@@ -15,12 +15,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Section:
-    """One section of a file.
+    """A section of an INI file.
 
     Attributes:
-        file: The file as the operator named it.
+        file: The path that the operator gave.
         title: The text between the brackets.
-        values: Key to text, as written.
+        values: Unparsed text by key.
     """
 
     file: str
@@ -29,10 +29,10 @@
 
 
 def read(path: str) -> list[Section]:
-    """Reads a file.
+    """Reads the sections of an INI file.
 
     Raises:
-        SettingsError: If it cannot be read or is not an INI file.
+        SettingsError: If the file cannot be read or parsed.
     """
     parser = configparser.ConfigParser(
         interpolation=None, default_section="", strict=True
@@ -54,15 +54,15 @@
 
 
 def validate(kind: type[T], section: Section, **extra: Any) -> T:
-    """Makes a checked value of a section.
+    """Validates a section and converts it to a data class.
 
     Args:
-        kind: A data class whose field types say what is valid.
-        section: Where the values come from.
-        **extra: Values that are not written in the file, such as the name.
+        kind: A data class whose field types define the valid values.
+        section: The section to validate.
+        **extra: Values that are not in the file, such as the name.
 
     Raises:
-        SettingsError: Names the first key that is wrong.
+        SettingsError: For the first invalid key, which it names.
     """
     adapter = pydantic.TypeAdapter(kind)
     try:
@@ -78,7 +78,7 @@
         ) from error
 
 
-# Messages of the validation library that say too little to an operator.
+# Clearer texts for Pydantic's error types, for operators.
 _EXPLANATIONS = {
     "missing": "this key is required",
     "unexpected_keyword_argument": "unknown key",
--- a/martenjunction/config/programs.py
+++ b/martenjunction/config/programs.py
@@ -1,4 +1,4 @@
-"""Programs of policies that stand in files of their own."""
+"""Policy programs in separate files."""
 
 import dataclasses
 import pathlib
@@ -6,18 +6,20 @@
 from martenjunction import errors
 from martenjunction.config import ini
 
-# In a file, a policy may name the file that holds its program.
+# Key of a policy section that names the file with its program.
 PROGRAM_KEY = "file"
 
-# The key under which a policy's program stands in its section.
+# Key of a policy section that holds the program itself.
 SOURCE_KEY = "source"
 
 
 def include(section: ini.Section) -> ini.Section:
-    """Reads the file that a policy names, beside the INI file.
+    """Replaces a reference to a program file by the program.
+
+    The path is relative to the folder of the INI file.
 
     Raises:
-        SettingsError: If it cannot be read.
+        SettingsError: If the program file cannot be read.
     """
     name = section.values.get(PROGRAM_KEY)
     if name is None or not section.title.startswith("policy "):
--- a/martenjunction/config/references.py
+++ b/martenjunction/config/references.py
@@ -1,4 +1,4 @@
-"""References from one section of the configuration to another."""
+"""Validates references between sections of the configuration."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 # Returns the sections of a kind by name.
 Table = Callable[[str], Mapping[str, Any]]
 
-# Which field of which kind of section names a section of which other kind.
+# Kind of section, its field, and the kind of section that the field names.
 _REFERENCES = (
     ("endpoint", "service", "service"),
     ("workspace", "default_class", "class"),
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """A reference from one section to another that is not there.
+    """A reference to a section that does not exist.
 
     Attributes:
         kind: The kind of the section.
         name: Its name.
-        field: Which of its fields refers to the other section.
-        message: What is wrong.
+        field: The field that holds the reference.
+        message: Description of the error.
     """
 
     kind: str
@@ -35,7 +35,7 @@
 
 
 def find_problems(table: Table) -> list[Problem]:
-    """Returns references that lead nowhere."""
+    """Returns references to sections that do not exist."""
     problems = []
     for kind, field, target in _REFERENCES:
         targets = table(target)
--- a/martenjunction/config/settings.py
+++ b/martenjunction/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon."""
+"""Settings of a daemon."""
 
 import dataclasses
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DaemonSettings:
-    """What a daemon is told at start.
+    """Settings that a daemon reads at start.
 
     Attributes:
         box: The name of the box; unique in the fleet.
@@ -69,7 +69,7 @@
     """Reads the settings of a daemon.
 
     Raises:
-        SettingsError: If the file is missing or anything in it is wrong.
+        SettingsError: If the file is missing or invalid.
     """
     sections = {section.title: section for section in ini.read(path)}
     unknown = sorted(set(sections) - {"daemon"})
@@ -80,7 +80,7 @@
     settings = ini.validate(DaemonSettings, sections["daemon"])
     if not settings.platform and not settings.fleet:
         raise errors.SettingsError(
-            "set platform, or fleet for a daemon without a platform",
+            "set platform, or set fleet to run without a platform",
             path,
             "daemon",
         )
--- a/martenjunction/config/store.py
+++ b/martenjunction/config/store.py
@@ -1,4 +1,4 @@
-"""The configuration in force on one daemon: versions only ever rise."""
+"""The active configuration of a daemon; versions never decrease."""
 
 import dataclasses
 import logging
@@ -14,13 +14,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigObject:
-    """One configuration object at one version.
+    """A configuration object at one version.
 
     Attributes:
         key: Its key in the platform.
-        version: The platform's version; rises with every change of any
-            object.
-        values: Key to text, or None where the object was deleted.
+        version: Version assigned by the platform; increases with every
+            change of any object.
+        values: Text by key, or None if the object was deleted.
     """
 
     key: str
@@ -29,10 +29,11 @@
 
 
 class ConfigStore:
-    """Holds the newest version seen of every object.
+    """Holds the newest known version of every object.
 
     Attributes:
-        config: What is in force; replaced as a whole on every change.
+        config: The active configuration; replaced, not modified, on every
+            change.
     """
 
     def __init__(self) -> None:
@@ -44,40 +45,40 @@
 
     @property
     def revision(self) -> int:
-        """The highest version applied."""
+        """The highest applied version."""
         return self._revision
 
     @property
     def digest(self) -> int:
-        """A 64-bit sum over all keys and versions."""
+        """A 64-bit checksum of all keys and versions."""
         return self._digest
 
     @property
     def rejected(self) -> dict[str, str]:
-        """Objects whose newest version is not valid, with the reason."""
+        """Reasons by key for objects whose newest version is invalid."""
         return dict(self._rejected)
 
     def __len__(self) -> int:
         return len(self._objects)
 
     def version_of(self, key: str) -> int:
-        """Returns the version held of an object; 0 for none."""
+        """Returns the current version of an object, or 0 if unknown."""
         held = self._objects.get(key)
         return held.version if held is not None else 0
 
     def after(self, version: int) -> list[ConfigObject]:
-        """Returns the objects above a version, in the order of versions."""
+        """Returns the objects newer than a version, ordered by version."""
         newer = [o for o in self._objects.values() if o.version > version]
         return sorted(newer, key=lambda o: o.version)
 
     def apply(self, objects: list[ConfigObject]) -> list[ConfigObject]:
-        """Puts in force what is newer than what is held.
+        """Applies the objects that are newer than the current ones.
 
         Args:
-            objects: In any order, from any source.
+            objects: Objects in any order, from the platform or from peers.
 
         Returns:
-            Those that were newer.
+            The objects that were applied.
         """
         newer = []
         values: dict[str, Any] = {}
@@ -103,14 +104,17 @@
         try:
             values[item.key] = parse_object(item)
         except errors.SettingsError as error:
-            # It was accepted all the same, by a daemon of another version
-            # perhaps: the last valid value stays in force, and it shows.
+            # The platform accepted the object, perhaps from a daemon of
+            # another version: the last valid value stays active, and
+            # `rejected` and the log report the error.
             self._rejected[item.key] = str(error)
-            logger.error("%s is not valid: %s", item.key, error)
+            logger.error(
+                "configuration object %s is not valid: %s", item.key, error
+            )
 
 
 def parse_object(item: ConfigObject) -> Any:
-    """Returns the checked value of an object.
+    """Returns the validated value of an object.
 
     Raises:
         SettingsError: If it is not valid.
--- a/martenjunction/config/units.py
+++ b/martenjunction/config/units.py
@@ -1,4 +1,4 @@
-"""Values with units, as operators write them."""
+"""Field types for durations, sizes, addresses and lists in INI files."""
 
 import re
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 
 def parse_duration(value: Any) -> Any:
-    """Turns `650ms`, `2s`, `5min` or `1h` into seconds."""
+    """Converts a duration such as `650ms` or `5min` to seconds."""
     if not isinstance(value, str):
         return value
     match = _DURATION.match(value.strip())
@@ -26,7 +26,7 @@
 
 
 def parse_size(value: Any) -> Any:
-    """Turns `64KiB` into bytes."""
+    """Converts a size such as `64KiB` to bytes."""
     if not isinstance(value, str):
         return value
     match = _SIZE.match(value.strip())
@@ -38,7 +38,7 @@
 
 
 def parse_words(value: Any) -> Any:
-    """Turns a comma-separated line into a tuple of words."""
+    """Splits a comma-separated list into a tuple of words."""
     if not isinstance(value, str):
         return value
     return tuple(word.strip() for word in value.split(",") if word.strip())
@@ -48,10 +48,10 @@
 
 
 def parse_source(value: Any) -> Any:
-    """Takes the margin off a program that is written in an INI file.
+    """Removes the margin from a program that is embedded in an INI file.
 
-    The format drops the white space at the start of a line, so every line of
-    a program begins with a vertical bar and a space.
+    The INI format drops leading white space, so every line of a program begins
+    with a vertical bar and a space.
     """
     if not isinstance(value, str):
         return value
@@ -64,16 +64,16 @@
 
 
 def with_margin(source: str) -> str:
-    """Returns a program in the form that `parse_source` reads."""
+    """Returns a program with the margin that `parse_source` removes."""
     lines = source.split("\n")
     return "\n" + "\n".join(f"{MARGIN} {line}" for line in lines)
 
 
 def check_address(value: str) -> str:
-    """Accepts an IP number and a port, such as `127.0.0.1:8080`."""
+    """Validates an IP address and port, such as `127.0.0.1:8080`."""
     match = _ADDRESS.match(value)
     if match is None or not 0 < int(match[2]) < 65536:
-        raise ValueError(f"{value!r} is not an IP number and a port")
+        raise ValueError(f"{value!r} is not an IP address and a port")
     return value
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Files, versions and the layout of cells."""
+"""Configuration files, object versions and the layout of cells."""
 
 import pathlib
 
@@ -131,7 +131,7 @@
 def test_digest_tells_the_same_state_in_any_order(
     objects: list[store.ConfigObject],
 ) -> None:
-    # The platform gives one value to one version of a key.
+    # The platform never stores two values under one version of a key.
     unique = {(o.key, o.version): o for o in objects}
     first = store.ConfigStore()
     first.apply(list(unique.values()))
