--- a/martenjunction/config/fleet.py
+++ b/martenjunction/config/fleet.py
@@ -283,7 +283,7 @@
     for document in documents:
         lines.append(f"[{document.kind} {document.name}]")
         for key, value in document.values.items():
-            text = units.with_margin(value) if "\n" in value else value
+            text = units.add_margin(value) if "\n" in value else value
             lines.append(f"{key} = " + text.replace("\n", "\n    "))
         lines.append("")
     return "\n".join(lines)
@@ -310,7 +310,7 @@
     seen: dict[str, ini.Section] = {}
     for path in paths:
         for section in ini.read(path):
-            document, value = parse(programs.include(section))
+            document, value = parse(programs.inline_program(section))
             if document.key in seen:
                 raise errors.SettingsError(
                     f"already defined in {seen[document.key].file}",
@@ -321,10 +321,12 @@
             documents.append(document)
             values.append(value)
     config = build(values)
-    for problem in references.find_problems(lambda k: _table(config, k)):
-        section = seen[_key(problem.kind, problem.name)]
+    for reference in references.find_invalid_references(
+        lambda k: _table(config, k)
+    ):
+        section = seen[_key(reference.kind, reference.name)]
         raise errors.SettingsError(
-            problem.message, section.file, section.title, problem.field
+            reference.message, section.file, section.title, reference.field
         )
     return documents, config
 
--- a/martenjunction/config/ini.py
+++ b/martenjunction/config/ini.py
@@ -71,7 +71,7 @@
         first = error.errors()[0]
         key = ".".join(str(part) for part in first["loc"][:1])
         raise errors.SettingsError(
-            _explain(first["type"], first["msg"]),
+            _error_message(first["type"], first["msg"]),
             section.file,
             section.title,
             key,
@@ -85,5 +85,5 @@
 }
 
 
-def _explain(kind: str, message: str) -> str:
+def _error_message(kind: str, message: str) -> str:
     return _EXPLANATIONS.get(kind, message.removeprefix("Value error, "))
--- a/martenjunction/config/programs.py
+++ b/martenjunction/config/programs.py
@@ -7,13 +7,13 @@
 from martenjunction.config import ini
 
 # Key of a policy section that names the file with its program.
-PROGRAM_KEY = "file"
+PROGRAM_FILE_KEY = "file"
 
 # Key of a policy section that holds the program itself.
 SOURCE_KEY = "source"
 
 
-def include(section: ini.Section) -> ini.Section:
+def inline_program(section: ini.Section) -> ini.Section:
     """Replaces a reference to a program file by the program.
 
     The path is relative to the folder of the INI file.
@@ -21,7 +21,7 @@
     Raises:
         SettingsError: If the program file cannot be read.
     """
-    name = section.values.get(PROGRAM_KEY)
+    name = section.values.get(PROGRAM_FILE_KEY)
     if name is None or not section.title.startswith("policy "):
         return section
     path = pathlib.Path(section.file).parent / name
@@ -32,8 +32,8 @@
             f"{path}: {error.strerror}",
             section.file,
             section.title,
-            PROGRAM_KEY,
+            PROGRAM_FILE_KEY,
         ) from error
-    values = {k: v for k, v in section.values.items() if k != PROGRAM_KEY}
+    values = {k: v for k, v in section.values.items() if k != PROGRAM_FILE_KEY}
     values[SOURCE_KEY] = source
     return dataclasses.replace(section, values=values)
--- a/martenjunction/config/references.py
+++ b/martenjunction/config/references.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Problem:
+class InvalidReference:
     """A reference to a section that does not exist.
 
     Attributes:
@@ -34,14 +34,16 @@
     message: str
 
 
-def find_problems(table: Table) -> list[Problem]:
+def find_invalid_references(table: Table) -> list[InvalidReference]:
     """Returns references to sections that do not exist."""
-    problems = []
+    invalid = []
     for kind, field, target in _REFERENCES:
         targets = table(target)
         for value in table(kind).values():
             name = getattr(value, field)
             if name not in targets:
                 message = f"there is no {target} {name!r}"
-                problems.append(Problem(kind, value.name, field, message))
-    return problems
+                invalid.append(
+                    InvalidReference(kind, value.name, field, message)
+                )
+    return invalid
--- a/martenjunction/config/store.py
+++ b/martenjunction/config/store.py
@@ -63,8 +63,8 @@
 
     def version_of(self, key: str) -> int:
         """Returns the current version of an object, or 0 if unknown."""
-        held = self._objects.get(key)
-        return held.version if held is not None else 0
+        current = self._objects.get(key)
+        return current.version if current is not None else 0
 
     def after(self, version: int) -> list[ConfigObject]:
         """Returns the objects newer than a version, ordered by version."""
@@ -84,16 +84,16 @@
         values: dict[str, Any] = {}
         for item in objects:
             if item.version > self.version_of(item.key):
-                self._take(item, values)
+                self._apply_object(item, values)
                 newer.append(item)
         if values:
             self.config = fleet.replace(self.config, values)
         return newer
 
-    def _take(self, item: ConfigObject, values: dict[str, Any]) -> None:
-        held = self._objects.get(item.key)
-        if held is not None:
-            self._digest ^= _hash(held)
+    def _apply_object(self, item: ConfigObject, values: dict[str, Any]) -> None:
+        current = self._objects.get(item.key)
+        if current is not None:
+            self._digest ^= _hash(current)
         self._digest ^= _hash(item)
         self._objects[item.key] = item
         self._revision = max(self._revision, item.version)
--- a/martenjunction/config/units.py
+++ b/martenjunction/config/units.py
@@ -63,7 +63,7 @@
     )
 
 
-def with_margin(source: str) -> str:
+def add_margin(source: str) -> str:
     """Returns a program with the margin that `parse_source` removes."""
     lines = source.split("\n")
     return "\n" + "\n".join(f"{MARGIN} {line}" for line in lines)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -48,7 +48,7 @@
         ("max_held = many", "[daemon] max_held: "),
     ],
 )
-def test_mistakes_name_file_section_and_key(
+def test_errors_name_file_section_and_key(
     tmp_path: pathlib.Path, change: str, place: str
 ) -> None:
     path = write(tmp_path, DAEMON + change + "\n")
@@ -58,13 +58,13 @@
     assert "\n" not in str(caught.value)
 
 
-def test_missing_key_is_named(tmp_path: pathlib.Path) -> None:
+def test_missing_key_is_reported(tmp_path: pathlib.Path) -> None:
     path = write(tmp_path, DAEMON.replace("zone = perth-a\n", ""))
     with pytest.raises(errors.SettingsError, match="zone: this key is req"):
         settings.read_daemon(path)
 
 
-def test_reference_that_leads_nowhere_is_named(tmp_path: pathlib.Path) -> None:
+def test_dangling_reference_is_reported(tmp_path: pathlib.Path) -> None:
     path = write(
         tmp_path, "[workspace a]\nkey_hashes = 0\ndefault_class = none\n"
     )
@@ -72,7 +72,7 @@
         fleet.read([path])
 
 
-def test_documents_survive_being_printed(tmp_path: pathlib.Path) -> None:
+def test_documents_round_trip_through_ini(tmp_path: pathlib.Path) -> None:
     source = "def classify(request):\n    # why\n    return None"
     document = fleet.Document("policy", "p", {"source": source})
     path = write(tmp_path, fleet.to_ini([document]))
@@ -81,7 +81,7 @@
     assert documents[0].name == "p"
 
 
-def test_program_in_a_file_of_its_own(tmp_path: pathlib.Path) -> None:
+def test_program_in_a_separate_file(tmp_path: pathlib.Path) -> None:
     program = "def classify(request):\n    return None\n"
     (tmp_path / "p.star").write_text(program, encoding="utf-8")
     path = write(tmp_path, "[policy p]\nfile = p.star\n")
@@ -115,20 +115,20 @@
 
 
 @given(OBJECTS, st.randoms(use_true_random=False))
-def test_versions_only_rise_in_any_order(
+def test_versions_never_decrease_in_any_order(
     objects: list[store.ConfigObject], rng: object
 ) -> None:
-    held = store.ConfigStore()
+    config_store = store.ConfigStore()
     highest: dict[str, int] = {}
     for item in objects:
-        held.apply([item])
+        config_store.apply([item])
         known = highest.get(item.key, 0)
         highest[item.key] = max(known, item.version)
-        assert held.version_of(item.key) == highest[item.key]
+        assert config_store.version_of(item.key) == highest[item.key]
 
 
 @given(OBJECTS)
-def test_digest_tells_the_same_state_in_any_order(
+def test_digest_does_not_depend_on_the_order(
     objects: list[store.ConfigObject],
 ) -> None:
     # The platform never stores two values under one version of a key.
@@ -142,28 +142,28 @@
     assert first.revision == second.revision
 
 
-def test_object_that_is_not_valid_leaves_the_old_one_in_force() -> None:
-    held = store.ConfigStore()
+def test_invalid_object_leaves_the_previous_one_active() -> None:
+    config_store = store.ConfigStore()
     key = "config/class/a"
-    good = {"tier": "1", "first_token": "1s"}
-    held.apply([store.ConfigObject(key, 1, good)])
-    held.apply([store.ConfigObject(key, 2, {"tier": "nine"})])
-    assert held.config.classes["a"].tier == 1
-    assert key in held.rejected
+    valid = {"tier": "1", "first_token": "1s"}
+    config_store.apply([store.ConfigObject(key, 1, valid)])
+    config_store.apply([store.ConfigObject(key, 2, {"tier": "nine"})])
+    assert config_store.config.classes["a"].tier == 1
+    assert key in config_store.rejected
 
 
 @given(
     st.sets(st.integers(0, 500), min_size=2, max_size=40),
     st.integers(0, 1000),
 )
-def test_a_member_that_goes_moves_only_what_it_owned(
+def test_removing_a_member_moves_only_its_keys(
     members: set[int], key: int
 ) -> None:
     boxes = {f"box-{number}" for number in members}
     before = rendezvous.owner(boxes, str(key))
-    gone = sorted(boxes)[0]
-    after = rendezvous.owner(boxes - {gone}, str(key))
-    assert after == before or before == gone
+    removed = sorted(boxes)[0]
+    after = rendezvous.owner(boxes - {removed}, str(key))
+    assert after == before or before == removed
 
 
 def _endpoint(name: str, zone: str) -> fleet.Endpoint:
@@ -191,7 +191,7 @@
         max_size=30,
     )
 )
-def test_layout_kept_up_to_date_is_the_layout_made_anew(
+def test_incremental_layout_equals_the_layout_from_scratch(
     changes: list[tuple[str, str]],
 ) -> None:
     services = {"s": fleet.Service("s", span=fleet.CellSpan.ZONE, cells=2)}
@@ -206,7 +206,7 @@
         assert layout.update(config) == directory.cells_of(config)
 
 
-def test_owners_come_from_the_place_of_the_cell_first() -> None:
+def test_owners_in_the_zone_of_the_cell_rank_first() -> None:
     cell = directory.CellInfo("s/r/1/0", "s", "r/1", ())
     boxes = [
         directory.BoxPlace(f"box-{number}", f"r/{number % 2}")
