--- a/martenjunction/callers/chat.py
+++ b/martenjunction/callers/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: streamed as server-sent events, or whole."""
+"""Chat completions, as server-sent events or as one JSON response."""
 
 import dataclasses
 import json
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ChatBody:
-    """The fields of a chat request that the daemon itself reads."""
+    """Fields of a chat request that the daemon itself uses."""
 
     __pydantic_config__ = pydantic.ConfigDict(extra="ignore")
 
@@ -43,17 +43,17 @@
 
 
 class ChatHandler(handlers.CallerHandler):
-    """`POST /v1/chat/completions`."""
+    """Handles `POST /v1/chat/completions`."""
 
     _relay: relay.Relay | None = None
 
     async def post(self) -> None:
-        """Answers a chat request."""
+        """Validates a chat request, runs it and sends the response."""
         try:
-            raw, body = self._read()
-            request = self._route(raw, body)
-            sink: _StreamSink | _WholeSink
-            sink = _StreamSink(self) if body.stream else _WholeSink(self)
+            raw, body = self._parse_body()
+            request = self._make_request(raw, body)
+            sink: _StreamSink | _BufferedSink
+            sink = _StreamSink(self) if body.stream else _BufferedSink(self)
             self._relay = self.make_relay(request, sink)
         except errors.CallerError as error:
             self.fail(error)
@@ -62,22 +62,22 @@
         conversation = cast(runs.EngineConversation, self._relay.conversation)
         await sink.end(result, conversation)
 
-    def on_left(self) -> None:
-        """Cancels the run of a caller who left."""
+    def on_disconnect(self) -> None:
+        """Cancels the run after the caller disconnected."""
         if self._relay is not None:
             self._relay.stop(broker.StopReason.CALLER_LEFT)
 
-    def _read(self) -> tuple[dict[str, Any], ChatBody]:
+    def _parse_body(self) -> tuple[dict[str, Any], ChatBody]:
         try:
             raw = json.loads(self.body)
             body = _BODY.validate_python(raw)
         except (ValueError, RecursionError) as error:
             raise errors.CallerError(
-                400, "bad-request", _reason(error)
+                400, "bad-request", _describe_error(error)
             ) from error
         return raw, body
 
-    def _route(
+    def _make_request(
         self, raw: dict[str, Any], body: ChatBody
     ) -> requests.RoutedRequest:
         callers = self.callers
@@ -97,22 +97,23 @@
             default_class="",
             labels=self.labels(),
         )
-        classed = callers.classify(self.workspace, facts)
-        once = http_headers.NOT_REPEATABLE in self.request.headers
+        classification = callers.classify(self.workspace, facts)
+        single_attempt = http_headers.NOT_REPEATABLE in self.request.headers
         return requests.RoutedRequest(
             request_id=self.request_id(),
             workspace=self.workspace.name,
             kind=kind,
             service=service,
-            service_class=classed.service_class,
-            repeatable=classed.service_class.repeatable and not once,
+            service_class=classification.service_class,
+            repeatable=classification.service_class.repeatable
+            and not single_attempt,
             arrived=callers.now(),
             prompt_tokens=facts.prompt_tokens,
             expected_tokens=callers.expected_tokens(
                 self.workspace.name, kind, body.max_tokens
             ),
             prefix=prompts.prefix_blocks(text),
-            zones=classed.zones,
+            zones=classification.zones,
             idempotency_key=self.request.headers.get(
                 http_headers.IDEMPOTENCY_KEY, ""
             ),
@@ -121,7 +122,7 @@
 
 
 class _StreamSink:
-    """Passes events on as they come."""
+    """Forwards a streaming response event by event."""
 
     def __init__(self, handler: ChatHandler) -> None:
         self._handler = handler
@@ -131,13 +132,13 @@
         """Sends the status and headers."""
         self._started = True
         handler = self._handler
-        handler.set_status(head.status, handlers.reason_of(head.status))
+        handler.set_status(head.status, handlers.reason_phrase(head.status))
         content_type = head.get("Content-Type") or "text/event-stream"
         handler.set_header("Content-Type", content_type)
         handler.set_header("Cache-Control", "no-store")
 
     async def write(self, data: bytes) -> None:
-        """Sends events; returns when the connection has room for more."""
+        """Sends events and waits until the connection can take more."""
         try:
             self._handler.write(data)
             await self._handler.flush()
@@ -147,7 +148,7 @@
     async def end(
         self, result: results.Result, _: runs.EngineConversation
     ) -> None:
-        """Ends the answer, with an error event where it is not whole."""
+        """Ends the response, with an error event if it is incomplete."""
         if result.code is results.FailureCode.CALLER_LEFT:
             return
         if result.outcome is not outcomes.Outcome.DONE:
@@ -160,8 +161,8 @@
         await self._handler.finish()
 
 
-class _WholeSink:
-    """Gathers an answer until it is whole."""
+class _BufferedSink:
+    """Buffers a response until it is complete."""
 
     def __init__(self, handler: ChatHandler) -> None:
         self._handler = handler
@@ -169,19 +170,19 @@
         self._error_body = bytearray()
 
     async def start(self, head: streams.ResponseHead) -> None:
-        """Notes an engine's own refusal, whose body is passed on."""
+        """Records an engine's error response, whose body is forwarded."""
         if head.status >= 400:
             self._error_head = head
 
     async def write(self, data: bytes) -> None:
-        """Gathers the body of a refusal; chunks are with the relay."""
+        """Buffers an error body; the relay collects content chunks."""
         if self._error_head is not None:
             self._error_body += data
 
     async def end(
         self, result: results.Result, conversation: runs.EngineConversation
     ) -> None:
-        """Sends the whole answer, or why there is none."""
+        """Sends the complete response, or an error response."""
         handler = self._handler
         if result.code is results.FailureCode.CALLER_LEFT:
             return
@@ -197,15 +198,15 @@
 
 
 def _error_event(result: results.Result) -> bytes:
-    body = handlers.failure_body(
+    body = handlers.error_body(
         str(result.code), result.message, result.outcome, result.retry_after
     )
     return ERROR_EVENT.format(json.dumps(body)).encode()
 
 
-def _reason(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     if isinstance(error, pydantic.ValidationError):
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        return f"{place}: {first['msg']}" if place else str(first["msg"])
+        location = ".".join(str(part) for part in first["loc"])
+        return f"{location}: {first['msg']}" if location else str(first["msg"])
     return "the body is not JSON"
--- a/martenjunction/callers/service.py
+++ b/martenjunction/callers/service.py
@@ -1,4 +1,4 @@
-"""What a daemon knows and does for callers, apart from HTTP itself."""
+"""Authentication, admission and execution of requests, without HTTP."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,15 +29,16 @@
 
 STALL_INTERVAL = 0.5
 
-# Parts of what the daemon may hold up to which each tier is taken in: the
-# lowest tier is turned away first, and the highest only when all is taken.
-HOLD_LIMITS = {1: 1.0, 2: 0.95, 3: 0.9, 4: 0.85}
+# Utilization of the daemon, as a fraction of `max_held`, at which requests of
+# each tier are rejected: the lowest tier is shed first, and the highest only
+# at full capacity.
+ADMISSION_LIMITS = {1: 1.0, 2: 0.95, 3: 0.9, 4: 0.85}
 
-# Seconds after which a caller turned away by a full daemon may come back.
-FULL_RETRY_AFTER = 2.0
+# Seconds after which a caller rejected by an overloaded daemon may retry.
+OVERLOAD_RETRY_AFTER = 2.0
 
-# The same for a daemon whose planned stop has reached its limit.
-LEAVING_RETRY_AFTER = 1.0
+# The same for a daemon whose graceful shutdown has reached its time limit.
+SHUTDOWN_RETRY_AFTER = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -51,15 +52,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Parts:
-    """The parts of the daemon that serve callers.
+    """Components of the daemon that the service depends on.
 
     Attributes:
-        tools: What relays need.
-        claims: Keeps keyed requests from running twice.
-        clock: Tells the time.
+        tools: Components that relays depend on.
+        claims: Prevents requests with an idempotency key from running twice.
+        clock: The clock and its timers.
         numbers: Counters and histograms.
-        emitter: Where ended requests are announced.
-        entry: Returns the addresses that callers may use, the best first.
+        emitter: Publishes an event for each completed request.
+        entry: Returns the addresses that callers may use, best first.
     """
 
     tools: relay.Tools
@@ -71,16 +72,16 @@
 
 
 class CallerService:
-    """Keys, classes, limits and running requests."""
+    """Authenticates, classifies, admits and runs requests."""
 
     def __init__(
         self, settings: daemon_settings.DaemonSettings, parts: Parts
     ) -> None:
-        """Makes the service with an empty configuration.
+        """Initializes the service with an empty configuration.
 
         Args:
             settings: The daemon's settings.
-            parts: What it works with.
+            parts: Components that the service depends on.
         """
         self._settings = settings
         self._parts = parts
@@ -100,52 +101,54 @@
 
     @property
     def config(self) -> fleet.FleetConfig:
-        """The configuration in force."""
+        """The active configuration."""
         return self._config
 
     @property
     def classifier(self) -> classing.Classifier:
-        """Bindings and policies in force."""
+        """The classifier for the active bindings and policies."""
         return self._classifier
 
     @property
     def lengths(self) -> estimates.LengthEstimates:
-        """How long answers get."""
+        """Estimates of response lengths."""
         return self._lengths
 
     @property
     def relays(self) -> dict[str, relay.Relay]:
-        """Requests that are held now, to be read only."""
+        """In-flight requests by id, read-only."""
         return self._relays
 
     @property
     def held(self) -> float:
-        """The part of what the daemon may hold that is taken."""
+        """In-flight requests as a fraction of `max_held`."""
         return len(self._relays) / self._settings.max_held
 
     def set_config(self, config: fleet.FleetConfig) -> None:
-        """Puts a configuration in force for new requests."""
-        old = self._config
+        """Activates a configuration for new requests."""
+        previous = self._config
         self._config = config
-        # A table that did not change is the same object.
-        if config.workspace is not old.workspace:
+        # A table that did not change is the same object in both versions.
+        if config.workspace is not previous.workspace:
             self._keys = keys.KeyTable(config)
         if (
-            config.policy is not old.policy
-            or config.binding is not old.binding
-            or config.classes is not old.classes
+            config.policy is not previous.policy
+            or config.binding is not previous.binding
+            or config.classes is not previous.classes
         ):
             self._classifier = classing.Classifier(config)
 
     def start(self) -> None:
-        """Begins to look after running requests."""
-        self._parts.clock.subscribe("stalls", STALL_INTERVAL, self._check)
+        """Starts the periodic check for stalled requests."""
+        self._parts.clock.subscribe(
+            "stalls", STALL_INTERVAL, self._check_stalls
+        )
 
     def authenticate(self, authorization: str) -> fleet.Workspace:
         """Returns the workspace of an `Authorization` header.
 
         Raises:
-            CallerError: If there is no such key.
+            CallerError: If the key is missing or unknown.
         """
         if not authorization:
             raise errors.CallerError(401, "no-key", "a key is required")
@@ -161,7 +164,7 @@
         """Returns the class of a request.
 
         Raises:
-            CallerError: If the configuration gives it none.
+            CallerError: If the configuration assigns no class to it.
         """
         try:
             return self._classifier.classify(workspace, facts)
@@ -171,43 +174,47 @@
     def expected_tokens(
         self, workspace: str, kind: str, limit: int | None
     ) -> float:
-        """Returns how long an answer is likely to get, in tokens."""
+        """Returns the expected length of a response in tokens."""
         return self._lengths.expected(workspace, kind, limit)
 
     def entry(self) -> list[EntryAddress]:
-        """Returns the addresses that callers may use, the best first."""
+        """Returns the addresses that callers may use, best first."""
         return self._parts.entry()
 
     def now(self) -> float:
-        """Returns seconds on the daemon's clock."""
+        """Returns the time of the daemon's clock in seconds."""
         return self._parts.clock.now()
 
     def make_relay(
         self, request: requests.RoutedRequest, sink: sinks.Sink
     ) -> relay.Relay:
-        """Takes a request in.
+        """Admits a request and returns its relay.
 
         Raises:
-            CallerError: If the daemon is too full for its tier, or ends.
+            CallerError: If the daemon is overloaded for the request's tier,
+                or shutting down.
         """
         if self._stopped:
             raise errors.CallerError(
-                503, "box-leaving", "this box leaves", LEAVING_RETRY_AFTER
+                503,
+                "box-leaving",
+                "this box is shutting down",
+                SHUTDOWN_RETRY_AFTER,
             )
         tier = request.service_class.tier
-        if self.held >= HOLD_LIMITS[tier]:
+        if self.held >= ADMISSION_LIMITS[tier]:
             self._parts.numbers.count("turned_away", tier=str(tier))
             raise errors.CallerError(
-                503, "box-full", "this box is full", FULL_RETRY_AFTER
+                503, "box-full", "this box is at capacity", OVERLOAD_RETRY_AFTER
             )
-        made = relay.Relay(request, sink, self._parts.tools)
-        self._relays[request.request_id] = made
+        admitted = relay.Relay(request, sink, self._parts.tools)
+        self._relays[request.request_id] = admitted
         self._idle.clear()
-        return made
+        return admitted
 
-    async def run(self, made: relay.Relay) -> results.Result:
-        """Takes a request to its end, and books how it went."""
-        request = made.request
+    async def run(self, admitted: relay.Relay) -> results.Result:
+        """Runs an admitted request and records its result."""
+        request = admitted.request
         action = eliot.start_task(
             action_type="request",
             request_id=request.request_id,
@@ -216,7 +223,7 @@
             tier=request.service_class.tier,
         )
         try:
-            result = await self._run_claimed(made)
+            result = await self._run_claimed(admitted)
         except Exception as error:
             logger.exception("request %s failed", request.request_id)
             action.finish(error)
@@ -229,27 +236,27 @@
             del self._relays[request.request_id]
             if not self._relays:
                 self._idle.set()
-        self._book(request, result)
+        self._record_result(request, result)
         action.add_success_fields(**_log_fields(result))
         action.finish()
         return result
 
     async def wait_idle(self) -> None:
-        """Waits until no request is held."""
+        """Waits until no request is in flight."""
         await self._idle.wait()
 
-    async def _run_claimed(self, made: relay.Relay) -> results.Result:
-        request = made.request
+    async def _run_claimed(self, admitted: relay.Relay) -> results.Result:
+        request = admitted.request
         if request.repeatable or not request.idempotency_key:
-            return await made.run()
-        refused = await self._parts.claims.claim(request)
-        if refused is not None:
-            return refused
-        result = await made.run()
+            return await admitted.run()
+        rejection = await self._parts.claims.claim(request)
+        if rejection is not None:
+            return rejection
+        result = await admitted.run()
         self._parts.claims.settle(request, result.outcome)
         return result
 
-    def _book(
+    def _record_result(
         self, request: requests.RoutedRequest, result: results.Result
     ) -> None:
         service_class = request.service_class
@@ -277,19 +284,20 @@
             self._lengths.add(request.workspace, request.kind, result.tokens)
         self._parts.emitter.emit(events.REQUEST_ENDED, request, result)
 
-    def _check(self) -> None:
+    def _check_stalls(self) -> None:
         now = self._parts.clock.now()
-        for held in list(self._relays.values()):
-            held.check_stalled(now)
+        for active in list(self._relays.values()):
+            active.check_stalled(now)
 
     def stop_all(self) -> None:
-        """Ends all held requests, when a planned stop takes too long.
+        """Stops all in-flight requests at the limit of a graceful shutdown.
 
-        Later ones are turned away: each is told before the process ends.
+        Later requests are rejected, so that each one gets a response before
+        the process ends.
         """
         self._stopped = True
-        for held in list(self._relays.values()):
-            held.stop(broker.StopReason.TIME_LIMIT)
+        for active in list(self._relays.values()):
+            active.stop(broker.StopReason.TIME_LIMIT)
 
 
 def _log_fields(result: results.Result) -> dict[str, object]:
--- a/martenjunction/config/programs.py
+++ b/martenjunction/config/programs.py
@@ -1,4 +1,4 @@
-"""Programs of policies that stand in files of their own."""
+"""Policy programs in separate files."""
 
 import dataclasses
 import pathlib
@@ -6,20 +6,22 @@
 from martenjunction import errors
 from martenjunction.config import ini
 
-# In a file, a policy may name the file that holds its program.
-PROGRAM_KEY = "file"
+# Key of a policy section that names the file with its program.
+PROGRAM_FILE_KEY = "file"
 
-# The key under which a policy's program stands in its section.
+# Key of a policy section that holds the program itself.
 SOURCE_KEY = "source"
 
 
-def include(section: ini.Section) -> ini.Section:
-    """Reads the file that a policy names, beside the INI file.
+def inline_program(section: ini.Section) -> ini.Section:
+    """Replaces a reference to a program file by the program.
+
+    The path is relative to the folder of the INI file.
 
     Raises:
-        SettingsError: If it cannot be read.
+        SettingsError: If the program file cannot be read.
     """
-    name = section.values.get(PROGRAM_KEY)
+    name = section.values.get(PROGRAM_FILE_KEY)
     if name is None or not section.title.startswith("policy "):
         return section
     path = pathlib.Path(section.file).parent / name
@@ -30,8 +32,8 @@
             f"{path}: {error.strerror}",
             section.file,
             section.title,
-            PROGRAM_KEY,
+            PROGRAM_FILE_KEY,
         ) from error
-    values = {k: v for k, v in section.values.items() if k != PROGRAM_KEY}
+    values = {k: v for k, v in section.values.items() if k != PROGRAM_FILE_KEY}
     values[SOURCE_KEY] = source
     return dataclasses.replace(section, values=values)
