--- a/martenjunction/application.py
+++ b/martenjunction/application.py
@@ -101,7 +101,7 @@
             self.members,
             self.peers,
             self._rng,
-            lambda: self.callers.held,
+            lambda: self.callers.utilization,
         )
         self._links = wiring.CellLinks(settings.box, self.peers)
         self.cells = host.CellHost(
@@ -139,7 +139,7 @@
             self.timers,
             self.cells.polled_endpoints,
             self._on_load,
-            self.cells.silent,
+            self.cells.mark_unreachable,
         )
         self._listeners = listeners.Listeners(settings, self.callers, self)
         self._connect()
@@ -203,7 +203,9 @@
         logger.info("graceful shutdown started")
         self.events.emit(events.LEAVING)
         self.sync.announce_leaving(self.members.own)
-        self.members.leaving(self._settings.box, self.members.own.incarnation)
+        self.members.mark_leaving(
+            self._settings.box, self.members.own.incarnation
+        )
         await planned_stop.end_service(
             self._settings, self._listeners, self.callers
         )
@@ -281,8 +283,8 @@
             self._on_platform_boxes,
         )
 
-    def _parts(self) -> caller_service.Parts:
-        tools = relay.Tools(
+    def _parts(self) -> caller_service.Dependencies:
+        tools = relay.RelayContext(
             self.broker,
             self._http,
             self.timers,
@@ -290,7 +292,7 @@
             self._find_endpoint,
             self._rng,
         )
-        return caller_service.Parts(
+        return caller_service.Dependencies(
             tools,
             self.claims,
             self.timers,
@@ -382,7 +384,7 @@
         return self.store.config.endpoint.get(name)
 
     def _heartbeat(self) -> Any:
-        return self.sync.heartbeat(self.callers.held)
+        return self.sync.heartbeat(self.callers.utilization)
 
     # Dump.
 
--- a/martenjunction/callers/chat.py
+++ b/martenjunction/callers/chat.py
@@ -87,12 +87,12 @@
                 404, "unknown-model", f"there is no model {body.model!r}"
             )
         kind = self.request.headers.get(http_headers.KIND, DEFAULT_KIND)
-        text = prompts.text_of(body.messages)
+        text = prompts.serialize_messages(body.messages)
         facts = policies.RequestFacts(
             workspace=self.workspace.name,
             kind=kind,
             model=body.model,
-            prompt_tokens=prompts.count_tokens(text),
+            prompt_tokens=prompts.estimate_tokens(text),
             max_tokens=body.max_tokens or 0,
             default_class="",
             labels=self.labels(),
@@ -112,7 +112,7 @@
             expected_tokens=callers.expected_tokens(
                 self.workspace.name, kind, body.max_tokens
             ),
-            prefix=prompts.prefix_blocks(text),
+            prefix=prompts.prefix_hashes(text),
             zones=classification.zones,
             idempotency_key=self.request.headers.get(
                 http_headers.IDEMPOTENCY_KEY, ""
@@ -143,7 +143,7 @@
             self._handler.write(data)
             await self._handler.flush()
         except iostream.StreamClosedError as error:
-            raise sinks.CallerGoneError from error
+            raise sinks.CallerDisconnectedError from error
 
     async def end(
         self, result: results.Result, _: runs.EngineConversation
--- a/martenjunction/callers/handlers.py
+++ b/martenjunction/callers/handlers.py
@@ -15,7 +15,7 @@
 from martenjunction.callers import service
 from martenjunction.config import fleet
 from martenjunction.decisions import outcomes
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.relay import relay
 from martenjunction.relay import requests
 from martenjunction.relay import results
@@ -81,8 +81,8 @@
 
     def abort_response(self) -> None:
         """Closes the connection in the middle of an incomplete response."""
-        reason = closings.CloseReason.ANSWER_BROKEN
-        http_server.cut_off(self.request.connection, reason)
+        reason = close_reports.CloseReason.ANSWER_BROKEN
+        http_server.abort(self.request.connection, reason)
         self._log_daemon_close()
 
     def make_relay(
@@ -209,7 +209,7 @@
     def _log_daemon_close(self) -> None:
         """Logs a connection that the daemon, not the caller, closed."""
         reason = http_server.close_reason(self.request.connection)
-        if reason is not closings.CloseReason.CLIENT:
+        if reason is not close_reports.CloseReason.CLIENT:
             self._log_close(http_server.CLOSED)
 
     def _log_close(self, kind: str) -> None:
--- a/martenjunction/callers/plain.py
+++ b/martenjunction/callers/plain.py
@@ -129,7 +129,7 @@
         reason = handlers.reason_phrase(head.status)
         handler.set_status(head.status, reason)
         handler.clear_header("Content-Type")
-        for name, value in http_headers.to_caller(head.headers):
+        for name, value in http_headers.caller_headers(head.headers):
             handler.add_header(name, value)
         self._has_no_body = (
             self._has_no_body or head.status in STATUSES_WITHOUT_BODY
@@ -143,7 +143,7 @@
             self._handler.write(data)
             await self._handler.flush()
         except iostream.StreamClosedError as error:
-            raise sinks.CallerGoneError from error
+            raise sinks.CallerDisconnectedError from error
 
     async def end(self, result: results.Result) -> None:
         """Ends the response; closes the connection if it is incomplete."""
--- a/martenjunction/callers/prompts.py
+++ b/martenjunction/callers/prompts.py
@@ -11,17 +11,17 @@
 MAX_BLOCKS = 16
 
 
-def text_of(messages: list[Any]) -> str:
+def serialize_messages(messages: list[Any]) -> str:
     """Serializes the messages of a chat to canonical JSON."""
     return json.dumps(messages, separators=(",", ":"), sort_keys=True)
 
 
-def count_tokens(text: str) -> int:
+def estimate_tokens(text: str) -> int:
     """Estimates the length of a text in tokens."""
     return max(1, len(text) // CHARACTERS_PER_TOKEN)
 
 
-def prefix_blocks(text: str) -> tuple[int, ...]:
+def prefix_hashes(text: str) -> tuple[int, ...]:
     """Returns a hash of each prefix of a text that ends at a block.
 
     Two prompts share as many leading hashes as they share whole leading
--- a/martenjunction/callers/service.py
+++ b/martenjunction/callers/service.py
@@ -16,7 +16,7 @@
 from martenjunction.claims import keeper
 from martenjunction.config import fleet
 from martenjunction.config import settings as daemon_settings
-from martenjunction.decisions import classing
+from martenjunction.decisions import classification
 from martenjunction.decisions import estimates
 from martenjunction.decisions import outcomes
 from martenjunction.decisions import policies
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Parts:
+class Dependencies:
     """Components of the daemon that the service depends on.
 
     Attributes:
@@ -63,7 +63,7 @@
         entry: Returns the addresses that callers may use, best first.
     """
 
-    tools: relay.Tools
+    tools: relay.RelayContext
     claims: keeper.ClaimKeeper
     clock: timers.Timers
     numbers: metrics.Metrics
@@ -75,7 +75,7 @@
     """Authenticates, classifies, admits and runs requests."""
 
     def __init__(
-        self, settings: daemon_settings.DaemonSettings, parts: Parts
+        self, settings: daemon_settings.DaemonSettings, parts: Dependencies
     ) -> None:
         """Initializes the service with an empty configuration.
 
@@ -87,7 +87,7 @@
         self._parts = parts
         self._config = fleet.FleetConfig()
         self._keys = keys.KeyTable(self._config)
-        self._classifier = classing.Classifier(self._config)
+        self._classifier = classification.Classifier(self._config)
         self._lengths = estimates.LengthEstimates()
         self._relays: dict[str, relay.Relay] = {}
         self._stopped = False
@@ -105,7 +105,7 @@
         return self._config
 
     @property
-    def classifier(self) -> classing.Classifier:
+    def classifier(self) -> classification.Classifier:
         """The classifier for the active bindings and policies."""
         return self._classifier
 
@@ -120,7 +120,7 @@
         return self._relays
 
     @property
-    def held(self) -> float:
+    def utilization(self) -> float:
         """In-flight requests as a fraction of `max_held`."""
         return len(self._relays) / self._settings.max_held
 
@@ -136,7 +136,7 @@
             or config.binding is not previous.binding
             or config.classes is not previous.classes
         ):
-            self._classifier = classing.Classifier(config)
+            self._classifier = classification.Classifier(config)
 
     def start(self) -> None:
         """Starts the periodic check for stalled requests."""
@@ -160,7 +160,7 @@
 
     def classify(
         self, workspace: fleet.Workspace, facts: policies.RequestFacts
-    ) -> classing.Classed:
+    ) -> classification.Classification:
         """Returns the class of a request.
 
         Raises:
@@ -202,7 +202,7 @@
                 SHUTDOWN_RETRY_AFTER,
             )
         tier = request.service_class.tier
-        if self.held >= ADMISSION_LIMITS[tier]:
+        if self.utilization >= ADMISSION_LIMITS[tier]:
             self._parts.numbers.count("turned_away", tier=str(tier))
             raise errors.CallerError(
                 503, "box-full", "this box is at capacity", OVERLOAD_RETRY_AFTER
@@ -268,7 +268,7 @@
         if result.code is not None:
             code = str(result.code)
             numbers.count("failures", code=code, service_class=name)
-        if result.attains(
+        if result.meets_targets(
             service_class.first_token, service_class.between_tokens
         ):
             numbers.count("attained", service_class=name)
--- a/martenjunction/cells/broker.py
+++ b/martenjunction/cells/broker.py
@@ -13,7 +13,7 @@
 from martenjunction.cells import cell_choice
 from martenjunction.cells import directory
 from martenjunction.cells import messages
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 
 logger = logging.getLogger(__name__)
 
@@ -53,18 +53,21 @@
     reason: StopReason
 
 
-Verdict = messages.PlaceGranted | messages.RequestShed | Stopped
+PlacementResult = messages.SlotGranted | messages.RequestShed | Stopped
 
 
 class Ticket:
     """The state of one request at the cell it was sent to.
 
-    The broker puts results into `verdicts`, which the relay awaits, and calls
-    `on_preempted` when a running request is preempted.
+    The broker puts results into `placement_results`, which the relay awaits,
+    and calls `on_preempted` when a running request is preempted.
     """
 
     def __init__(
-        self, ask: asks.Ask, cell: directory.CellInfo, owner: str
+        self,
+        ask: dispatch_types.SlotRequest,
+        cell: directory.CellInfo,
+        owner: str,
     ) -> None:
         self.ask = ask
         self.cell = cell
@@ -72,7 +75,9 @@
         self.state = TicketState.WAITING
         self.endpoint = ""
         self.granted_at = 0.0
-        self.verdicts: mailbox.Mailbox[Verdict] = mailbox.Mailbox(16)
+        self.placement_results: mailbox.Mailbox[PlacementResult] = (
+            mailbox.Mailbox(16)
+        )
         self.on_preempted: Callable[[], None] | None = None
 
 
@@ -125,7 +130,7 @@
         self._tickets: dict[str, Ticket] = {}
         self._counts = BrokerCounts()
         self._handlers: dict[type[Any], Callable[[str, Any], None]] = {
-            messages.PlaceGranted: self._on_granted,
+            messages.SlotGranted: self._on_granted,
             messages.RequestShed: self._on_shed,
             messages.RunPreempted: self._on_preempted,
             messages.Summary: self._on_summary,
@@ -147,7 +152,7 @@
         return self._cells
 
     @property
-    def owners_now(self) -> dict[str, str]:
+    def current_owners(self) -> dict[str, str]:
         """The current owner of each cell in use."""
         return dict(self._current_owner)
 
@@ -170,7 +175,7 @@
         }
         self.reassign()
 
-    def place(self, ask: asks.Ask, service: str) -> Ticket:
+    def place(self, ask: dispatch_types.SlotRequest, service: str) -> Ticket:
         """Sends a request to a cell.
 
         Args:
@@ -207,7 +212,7 @@
             ),
         )
 
-    def ended(self, ticket: Ticket, end: asks.RunEnd) -> None:
+    def ended(self, ticket: Ticket, end: dispatch_types.RunEnd) -> None:
         """Releases a slot and notifies the cell of how the run ended."""
         if ticket.state is TicketState.OVER:
             return
@@ -221,7 +226,7 @@
                 end.first_token_s,
                 end.tokens,
                 end.token_interval_s,
-                end.rest_s,
+                end.backoff_s,
                 end.answered,
                 end.limit_per_s,
             ),
@@ -277,14 +282,14 @@
             # The next call of `reassign` moves the request to another owner.
             logger.debug("cell owner %s cannot be reached", ticket.owner)
 
-    def _ask_message(self, ticket: Ticket) -> messages.AskPlace:
+    def _ask_message(self, ticket: Ticket) -> messages.SlotRequested:
         return messages.from_ask(
             ticket.ask, ticket.cell.name, self._timers.now()
         )
 
     def _move(self, ticket: Ticket) -> None:
         ticket.owner = self._current_owner[ticket.cell.name]
-        ticket.ask = dataclasses.replace(ticket.ask, firm=True)
+        ticket.ask = dataclasses.replace(ticket.ask, exempt_from_shedding=True)
         self._counts.moved += 1
         message: messages.FromEntry = self._ask_message(ticket)
         if ticket.state is TicketState.RUNNING:
@@ -313,7 +318,7 @@
 
     # Messages from owners.
 
-    def _on_granted(self, sender: str, message: messages.PlaceGranted) -> None:
+    def _on_granted(self, sender: str, message: messages.SlotGranted) -> None:
         ticket = self._ticket_of(
             sender, message.request_id, TicketState.WAITING
         )
@@ -326,7 +331,7 @@
         ticket.state = TicketState.RUNNING
         ticket.endpoint = message.endpoint
         ticket.granted_at = self._timers.now()
-        ticket.verdicts.put(message)
+        ticket.placement_results.put(message)
 
     def _on_shed(self, sender: str, message: messages.RequestShed) -> None:
         ticket = self._ticket_of(
@@ -334,7 +339,7 @@
         )
         if ticket is not None:
             self._close(ticket)
-            ticket.verdicts.put(message)
+            ticket.placement_results.put(message)
 
     def _on_preempted(
         self, sender: str, message: messages.RunPreempted
--- a/martenjunction/cells/cell.py
+++ b/martenjunction/cells/cell.py
@@ -9,7 +9,7 @@
 from martenjunction import mailbox
 from martenjunction import timers
 from martenjunction.cells import messages
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 
 logger = logging.getLogger(__name__)
@@ -131,7 +131,7 @@
             TickElapsed: self._on_tick,
         }
         self._from_entry: dict[type[Any], Callable[[str, Any, float], None]] = {
-            messages.AskPlace: self._on_ask,
+            messages.SlotRequested: self._on_ask,
             messages.AnnounceRun: self._on_announce,
             messages.Withdraw: self._on_withdraw,
             messages.FirstToken: self._on_first_token,
@@ -144,7 +144,7 @@
         return self._name
 
     @property
-    def decider(self) -> dispatcher.Dispatcher:
+    def dispatcher(self) -> dispatcher.Dispatcher:
         """The dispatcher. Callers must not modify it."""
         return self._decider
 
@@ -199,7 +199,7 @@
                     )
             self._deliver(self._decider.step(now))
 
-    def _deliver(self, decisions: list[asks.Decision]) -> None:
+    def _deliver(self, decisions: list[dispatch_types.Decision]) -> None:
         for decision in decisions:
             message = messages.from_decision(self._name, decision)
             self._send(decision.entry, message)
@@ -210,7 +210,7 @@
         handler(received.entry, received.message, now)
 
     def _on_ask(
-        self, entry: str, message: messages.AskPlace, now: float
+        self, entry: str, message: messages.SlotRequested, now: float
     ) -> None:
         ask = messages.to_ask(message, entry, now)
         self._deliver(self._decider.submit(ask, now))
@@ -220,7 +220,7 @@
     ) -> None:
         ask = messages.to_ask(message.ask, entry, now)
         granted = now - message.running
-        self._decider.adopt(asks.Run(ask, message.endpoint, granted))
+        self._decider.adopt(dispatch_types.Run(ask, message.endpoint, granted))
 
     def _on_withdraw(
         self, entry: str, message: messages.Withdraw, now: float
@@ -230,7 +230,9 @@
         # The grant and the withdrawal crossed; the slot was never used.
         run = self._decider.run(message.request_id)
         if run is not None and run.ask.entry == entry:
-            end = asks.RunEnd(message.request_id, asks.Ending.CANCELLED)
+            end = dispatch_types.RunEnd(
+                message.request_id, dispatch_types.Ending.CANCELLED
+            )
             self._decider.ended(end, now)
 
     def _on_first_token(
@@ -258,7 +260,7 @@
 
     def _on_report(self, report: EndpointReported, now: float) -> None:
         self._decider.report(
-            asks.LoadReport(
+            dispatch_types.LoadReport(
                 report.endpoint,
                 now - report.age,
                 report.running,
@@ -270,7 +272,7 @@
     def _on_unreachable(
         self, unreachable: EndpointUnreachable, now: float
     ) -> None:
-        self._decider.silent(unreachable.endpoint, now)
+        self._decider.mark_unreachable(unreachable.endpoint, now)
 
     def _on_entry_lost(self, lost: EntryLost, now: float) -> None:
         self._lost_entries.setdefault(lost.entry, now)
--- a/martenjunction/cells/cell_choice.py
+++ b/martenjunction/cells/cell_choice.py
@@ -6,7 +6,7 @@
 from martenjunction import timers
 from martenjunction.cells import directory
 from martenjunction.cells import messages
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 
 # Seconds after which a cell's summary expires.
 SUMMARY_LIFETIME = 6.0
@@ -65,7 +65,9 @@
         index = min(tier, len(summary.delay_ms)) - 1
         return summary.delay_ms[index] / 1000
 
-    def choose(self, ask: asks.Ask, service: str) -> directory.CellInfo | None:
+    def choose(
+        self, ask: dispatch_types.SlotRequest, service: str
+    ) -> directory.CellInfo | None:
         """Returns the better of two random cells, the first from a near one.
 
         Returns:
@@ -84,7 +86,9 @@
             first = self._rng.choice(preferred)
         return min((first, second), key=lambda cell: self._cost(cell, ask))
 
-    def _cost(self, cell: directory.CellInfo, ask: asks.Ask) -> float:
+    def _cost(
+        self, cell: directory.CellInfo, ask: dispatch_types.SlotRequest
+    ) -> float:
         cost = directory.distance(self._zone, cell.place)
         cost += self.delay(cell.name, ask.tier) or 0.0
         if ask.zones and not _is_preferred(cell, ask):
@@ -92,5 +96,7 @@
         return cost
 
 
-def _is_preferred(cell: directory.CellInfo, ask: asks.Ask) -> bool:
+def _is_preferred(
+    cell: directory.CellInfo, ask: dispatch_types.SlotRequest
+) -> bool:
     return any(directory.is_within(z, cell.place) for z in ask.zones)
--- a/martenjunction/cells/directory.py
+++ b/martenjunction/cells/directory.py
@@ -116,14 +116,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BoxPlace:
+class BoxLocation:
     """A candidate owner of cells and its availability zone."""
 
     box: str
     zone: str
 
 
-def owner_ranking(cell: CellInfo, boxes: Iterable[BoxPlace]) -> list[str]:
+def owner_ranking(cell: CellInfo, boxes: Iterable[BoxLocation]) -> list[str]:
     """Returns the candidate owners of a cell, best first.
 
     Boxes in the region or zone that the cell spans precede all others.
--- a/martenjunction/cells/host.py
+++ b/martenjunction/cells/host.py
@@ -75,7 +75,7 @@
             self._task(name)
         now = self._timers.now()
         for name, task in list(self._tasks.items()):
-            decider = task.decider
+            decider = task.dispatcher
             busy = decider.waiting or decider.running or name in owned
             if busy:
                 self._last_used[name] = now
@@ -100,7 +100,7 @@
             endpoint, cell.EndpointReported(endpoint, age, running, waiting)
         )
 
-    def silent(self, endpoint: str) -> None:
+    def mark_unreachable(self, endpoint: str) -> None:
         """Reports an unreachable endpoint to the cells that contain it."""
         self._put_to_cells_with(endpoint, cell.EndpointUnreachable(endpoint))
 
--- a/martenjunction/cells/messages.py
+++ b/martenjunction/cells/messages.py
@@ -5,14 +5,14 @@
 
 import dataclasses
 
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.peers import codec
 
 
 @codec.message("ask")
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskPlace:
+class SlotRequested:
     """An entry daemon requests a slot from a cell.
 
     Attributes:
@@ -35,7 +35,7 @@
     avoid: tuple[str, ...]
     preemptions: int
     zones: tuple[str, ...]
-    firm: bool
+    exempt_from_shedding: bool
 
 
 @codec.message("running")
@@ -49,7 +49,7 @@
         running: Seconds since it was granted.
     """
 
-    ask: AskPlace
+    ask: SlotRequested
     endpoint: str
     running: float
 
@@ -88,14 +88,14 @@
     first_token_s: float | None
     tokens: int
     token_interval_s: float | None
-    rest_s: float
+    backoff_s: float
     answered: bool
     limit_per_s: float | None
 
 
 @codec.message("grant")
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceGranted:
+class SlotGranted:
     """The owner grants a request a slot."""
 
     cell: str
@@ -141,8 +141,8 @@
     delay_ms: tuple[int, ...]
 
 
-FromEntry = AskPlace | AnnounceRun | Withdraw | FirstToken | RunEnded
-FromOwner = PlaceGranted | RequestShed | RunPreempted | Summary
+FromEntry = SlotRequested | AnnounceRun | Withdraw | FirstToken | RunEnded
+FromOwner = SlotGranted | RequestShed | RunPreempted | Summary
 
 
 def cell_of(message: FromEntry) -> str:
@@ -152,7 +152,9 @@
     return message.cell
 
 
-def to_ask(message: AskPlace, entry: str, now: float) -> asks.Ask:
+def to_ask(
+    message: SlotRequested, entry: str, now: float
+) -> dispatch_types.SlotRequest:
     """Converts a message to a dispatcher request.
 
     Args:
@@ -160,7 +162,7 @@
         entry: The sending box.
         now: The current time on the owner's clock.
     """
-    return asks.Ask(
+    return dispatch_types.SlotRequest(
         request_id=message.request_id,
         entry=entry,
         tier=message.tier,
@@ -176,13 +178,15 @@
         avoid=frozenset(message.avoid),
         preemptions=message.preemptions,
         zones=message.zones,
-        firm=message.firm,
+        exempt_from_shedding=message.exempt_from_shedding,
     )
 
 
-def from_ask(ask: asks.Ask, cell: str, now: float) -> AskPlace:
+def from_ask(
+    ask: dispatch_types.SlotRequest, cell: str, now: float
+) -> SlotRequested:
     """Converts a dispatcher request to a message."""
-    return AskPlace(
+    return SlotRequested(
         cell=cell,
         request_id=ask.request_id,
         tier=ask.tier,
@@ -198,29 +202,29 @@
         avoid=tuple(sorted(ask.avoid)),
         preemptions=ask.preemptions,
         zones=ask.zones,
-        firm=ask.firm,
+        exempt_from_shedding=ask.exempt_from_shedding,
     )
 
 
-def to_run_end(message: RunEnded) -> asks.RunEnd:
+def to_run_end(message: RunEnded) -> dispatch_types.RunEnd:
     """Converts a message to a dispatcher run end."""
-    return asks.RunEnd(
+    return dispatch_types.RunEnd(
         request_id=message.request_id,
-        ending=asks.Ending(message.ending),
+        ending=dispatch_types.Ending(message.ending),
         first_token_s=message.first_token_s,
         tokens=message.tokens,
         token_interval_s=message.token_interval_s,
-        rest_s=message.rest_s,
+        backoff_s=message.backoff_s,
         answered=message.answered,
         limit_per_s=message.limit_per_s,
     )
 
 
-def from_decision(cell: str, decision: asks.Decision) -> FromOwner:
+def from_decision(cell: str, decision: dispatch_types.Decision) -> FromOwner:
     """Converts a dispatcher's decision to a message to an entry daemon."""
-    if isinstance(decision, asks.Grant):
-        return PlaceGranted(cell, decision.request_id, decision.endpoint)
-    if isinstance(decision, asks.Shed):
+    if isinstance(decision, dispatch_types.Grant):
+        return SlotGranted(cell, decision.request_id, decision.endpoint)
+    if isinstance(decision, dispatch_types.Shed):
         return RequestShed(
             cell, decision.request_id, decision.reason, decision.retry_after
         )
--- a/martenjunction/cells/summaries.py
+++ b/martenjunction/cells/summaries.py
@@ -20,13 +20,13 @@
     summary: messages.Summary
 
 
-class SummaryGate:
+class SummaryThrottle:
     """Selects the summaries that changed since they were last sent."""
 
     def __init__(self) -> None:
         self._sent: dict[str, _Sent] = {}
 
-    def pass_on(
+    def select_due(
         self, summaries: list[messages.Summary], now: float
     ) -> list[messages.Summary]:
         """Returns the summaries that are due and marks them as sent."""
--- a/martenjunction/cmd/check.py
+++ b/martenjunction/cmd/check.py
@@ -8,7 +8,7 @@
 
 from martenjunction import errors
 from martenjunction.config import fleet
-from martenjunction.decisions import classing
+from martenjunction.decisions import classification
 from martenjunction.decisions import policies
 
 
@@ -85,7 +85,7 @@
         facts = policies.RequestFacts(
             self.workspace, self.kind, self.model, self.prompt_tokens, 0, ""
         )
-        result = classing.Classifier(config).classify(workspace, facts)
+        result = classification.Classifier(config).classify(workspace, facts)
         endpoints = config.endpoints_of(service.name)
         return {
             "class": dataclasses.asdict(result.service_class),
--- a/martenjunction/cmd/configure.py
+++ b/martenjunction/cmd/configure.py
@@ -122,7 +122,7 @@
         changes: list[configuration.Change],
     ) -> bool:
         try:
-            response = await remote.ask_daemon(
+            response = await remote.call_daemon(
                 http,
                 box.operators,
                 self.operator_key,
--- a/martenjunction/cmd/inspect.py
+++ b/martenjunction/cmd/inspect.py
@@ -31,7 +31,7 @@
         async def send_request(
             http: client.EndpointClient,
         ) -> remote.DaemonResponse:
-            return await remote.ask_daemon(
+            return await remote.call_daemon(
                 http, self.address, self.operator_key, "GET", "/operator/dump"
             )
 
@@ -57,7 +57,7 @@
         async def send_request(
             http: client.EndpointClient,
         ) -> remote.DaemonResponse:
-            return await remote.ask_daemon(
+            return await remote.call_daemon(
                 http,
                 self.address,
                 self.operator_key,
--- a/martenjunction/cmd/remote.py
+++ b/martenjunction/cmd/remote.py
@@ -87,7 +87,7 @@
     return asyncio.run(run())
 
 
-async def ask_daemon(
+async def call_daemon(
     http: client.EndpointClient,
     address: str,
     key: str,
--- a/martenjunction/config/store.py
+++ b/martenjunction/config/store.py
@@ -66,7 +66,7 @@
         current = self._objects.get(key)
         return current.version if current is not None else 0
 
-    def after(self, version: int) -> list[ConfigObject]:
+    def objects_after(self, version: int) -> list[ConfigObject]:
         """Returns the objects newer than a version, ordered by version."""
         newer = [o for o in self._objects.values() if o.version > version]
         return sorted(newer, key=lambda o: o.version)
--- a/martenjunction/decisions/boxes/key_freshness.py
+++ b/martenjunction/decisions/boxes/config_freshness.py
@@ -4,7 +4,7 @@
 # serving although it knows of a newer configuration. It normally receives that
 # within 0.1 s. A box that does not is short of CPU time or bandwidth, and its
 # clients are better served by another box.
-SERVED_BEHIND_PART = 0.6
+MAX_LAG_FRACTION = 0.6
 
 
 class ConfigFreshness:
@@ -27,7 +27,7 @@
         """
         self._lifetime_s = lifetime_s
         self._margin_s = margin_s
-        self._max_lag_s = change_s * SERVED_BEHIND_PART
+        self._max_lag_s = change_s * MAX_LAG_FRACTION
         self._confirmed_at: float | None = None
         self._newer: dict[int, float] = {}
 
@@ -41,7 +41,7 @@
         if self._confirmed_at is None or asked_at > self._confirmed_at:
             self._confirmed_at = asked_at
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Drops all confirmations because a newer version exists."""
         self._confirmed_at = None
 
@@ -51,7 +51,7 @@
             return None
         return now - self._confirmed_at
 
-    def heard_of(self, version: int, now: float) -> bool:
+    def note_newer_version(self, version: int, now: float) -> bool:
         """Records a newer version; returns whether it was unknown before.
 
         Args:
@@ -63,7 +63,7 @@
         self._newer[version] = now
         return True
 
-    def caught_up(self, version: int, now: float) -> float:
+    def note_applied_version(self, version: int, now: float) -> float:
         """Records that a version is active here.
 
         Args:
@@ -74,11 +74,11 @@
             Seconds for which this box has known of a version that it did not
             have.
         """
-        lag_s = self.behind_s(now)
+        lag_s = self.lag_s(now)
         self._newer = {v: at for v, at in self._newer.items() if v > version}
         return lag_s
 
-    def nobody_has(self, above: int) -> None:
+    def drop_versions_above(self, above: int) -> None:
         """Drops versions that no connected box has.
 
         A version known only to a box that is gone must not keep this box from
@@ -90,7 +90,7 @@
         for version in [v for v in self._newer if v > above]:
             del self._newer[version]
 
-    def behind_s(self, now: float) -> float:
+    def lag_s(self, now: float) -> float:
         """Returns the seconds for which a known change has not been active.
 
         Args:
@@ -98,15 +98,15 @@
         """
         return now - min(self._newer.values(), default=now)
 
-    def lags(self, now: float) -> bool:
+    def is_lagging(self, now: float) -> bool:
         """Returns whether this box is too far behind to authorize requests.
 
         Args:
             now: The current time.
         """
-        return self.behind_s(now) > self._max_lag_s
+        return self.lag_s(now) > self._max_lag_s
 
-    def covers(self, received_at: float) -> bool:
+    def allows_keys_at(self, received_at: float) -> bool:
         """Returns whether keys may be accepted for a request.
 
         Args:
--- a/martenjunction/decisions/boxes/endpoint_hazard.py
+++ b/martenjunction/decisions/boxes/crash_rates.py
@@ -17,7 +17,7 @@
 # bound applies only while most other runs are answered: after the third crash
 # that all boxes know of, at most three more requests may reach an endpoint, one
 # of them as a later trial.
-LEAST_ENDS = 3
+MIN_CRASHES = 3
 MAX_CRASHES = 5
 MAX_CRASHES_UP_TO_RATE = 0.5
 
@@ -38,7 +38,7 @@
 MAX_REMEMBERED_CRASHES = 1024
 
 
-class EndpointHazard:
+class CrashRate:
     """Outcomes of one service's runs seen by a box in a sliding window."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         answered = self._answers.total()
         return (crashed + PRIOR_CRASHES) / (answered + crashed + PRIOR_RUNS)
 
-    def ends_needed(self, explained: Collection[str], now: float) -> int:
+    def crashes_needed(self, explained: Collection[str], now: float) -> int:
         """Returns how many consecutive crashes are unlikely to be chance.
 
         Args:
@@ -83,7 +83,7 @@
         needed = math.ceil(math.log(MAX_FALSE_POSITIVE_RATE) / math.log(rate))
         if rate <= MAX_CRASHES_UP_TO_RATE:
             needed = min(needed, MAX_CRASHES)
-        return max(LEAST_ENDS, needed)
+        return max(MIN_CRASHES, needed)
 
     def _expire(self, now: float) -> None:
         for second in [s for s in self._answers if s < now - WINDOW_S]:
--- a/martenjunction/decisions/boxes/endpoint_choice.py
+++ b/martenjunction/decisions/boxes/endpoint_choice.py
@@ -7,17 +7,17 @@
 from martenjunction.decisions import endpoint_states
 from martenjunction.decisions import rendezvous
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import shedding
+from martenjunction.decisions.boxes import load_shedding
 
 # Additional latency in seconds of a response from another availability zone.
-FAR_ZONE_S = 0.0005
+CROSS_ZONE_LATENCY_S = 0.0005
 
 # Cost in seconds of a failure whose probability is 1.
 FAILURE_COST_S = 0.1
 
 # Cost in seconds of prefilling one shared token again: 6,000 such tokens cost
 # users about as much as a long response that misses its deadline.
-SHARED_TOKEN_COST_S = 0.0001
+SHARED_PREFILL_COST_S = 0.0001
 
 # Fractions of an engine's time that may be spent on prefilling short and long
 # prompts. Above the first, streams on the same engine wait for several prefill
@@ -30,7 +30,7 @@
 # Fraction of the concurrency slots that short streams may fill on endpoints
 # reserved for them, and the maximum fraction of endpoints that may be reserved.
 SHORT_SLOT_FRACTION = 0.6
-MOST_SHORT_PART = 0.5
+MAX_RESERVED_FRACTION = 0.5
 
 # Cost in seconds of a long prompt on an endpoint that runs short streams. The
 # first value applies while the prefill of the prompt and of the backlog there
@@ -39,7 +39,7 @@
 # delayed at once. The third value is the minimum on a reserved endpoint, which
 # therefore costs as much as one with many short streams.
 LONG_BESIDE_SHORT_COST_S = 0.15
-LONG_A_SHORT_STREAM_S = 0.15
+LONG_COST_PER_SHORT_STREAM_S = 0.15
 LONG_ON_RESERVED_COST_S = 3.0
 MAX_DELAY_FRACTION = 0.25
 
@@ -53,34 +53,35 @@
 
     Attributes:
         record: The endpoint.
-        unread: Prompt tokens that the endpoint would have to prefill.
+        prefill_tokens: Prompt tokens that the endpoint would have to prefill.
         predicted_s: Predicted time in seconds to the first event, or to a plain
             response.
         running: Requests of all boxes at the endpoint.
-        ahead: Prefill backlog in tokens that is served before the request.
-        waiting: Total prefill backlog of the endpoint in tokens.
+        tokens_ahead: Prefill backlog in tokens that is served before the
+            request.
+        backlog_tokens: Total prefill backlog of the endpoint in tokens.
         short_running: Requests with short prompts at the endpoint.
         debt: Tokens sent to the endpoint in excess of the rate for long
             prompts.
-        again: Tokens to prefill that belong to parts shared with other
-            requests.
+        repeated_prefill_tokens: Tokens to prefill that belong to parts shared
+            with other requests.
     """
 
     record: endpoint_records.EndpointRecord
-    unread: int
+    prefill_tokens: int
     predicted_s: float
     running: int
-    ahead: int
-    waiting: int
+    tokens_ahead: int
+    backlog_tokens: int
     short_running: int = 0
     debt: int = 0
-    again: int = 0
+    repeated_prefill_tokens: int = 0
 
     @property
     def busy(self) -> bool:
         """Whether requests queue there or at least half its slots are used."""
-        busy_slots = shedding.BUSY_FRACTION * self.record.slots
-        return self.ahead > 0 or self.running >= busy_slots
+        busy_slots = load_shedding.BUSY_FRACTION * self.record.slots
+        return self.tokens_ahead > 0 or self.running >= busy_slots
 
 
 def choose(
@@ -115,7 +116,7 @@
     if demand.repeatable and not isolated:
         probes = [r for r in records if r not in healthy and r.is_eligible(now)]
         if probes:
-            return weigh(rng.choice(probes), demand, False, now)
+            return evaluate(rng.choice(probes), demand, False, now)
     eligible = [r for r in healthy if r.is_eligible(now)] or healthy or records
     if isolated:
         fewest = min(r.loads.running(now) for r in eligible)
@@ -126,16 +127,16 @@
         # Rate-limited endpoints cannot take all requests of a kind, so they are
         # excluded from reservation and affinity.
         candidates = [r for r in eligible if not r.limited] or eligible
-        reserved = kept_for_short(candidates, demand, now)
+        reserved = reserved_for_short(candidates, demand, now)
         owner = _affinity_owner(candidates, demand, reserved)
     rng.shuffle(eligible)
-    choices = [weigh(r, demand, r.id == owner, now) for r in eligible]
+    choices = [evaluate(r, demand, r.id == owner, now) for r in eligible]
     return min(
         choices, key=lambda c: _cost_s(c, demand, c.record.id in reserved)
     )
 
 
-def kept_for_short(
+def reserved_for_short(
     records: list[endpoint_records.EndpointRecord],
     demand: endpoint_records.Demand,
     now: float,
@@ -151,21 +152,21 @@
         demand: A request for the service.
         now: The current time.
     """
-    if demand.reads_beside_streams:
+    if demand.tolerates_prefill:
         return set()
     order = rendezvous.ranked(
         [r.id for r in records], f"short {demand.service}"
     )
-    short = demand.asked.short / SHORT_PREFILL_FRACTION
-    total = short + demand.asked.long / LONG_PREFILL_FRACTION
+    short = demand.prefill_rates.short / SHORT_PREFILL_FRACTION
+    total = short + demand.prefill_rates.long / LONG_PREFILL_FRACTION
     count = round(len(order) * short / total) if total else 0
     running = sum(record.loads.short_running(now) for record in records)
     slots = sum(record.slots for record in records) / max(1, len(records))
     count = max(1, count, math.ceil(running / (slots * SHORT_SLOT_FRACTION)))
-    return set(order[: min(count, int(len(order) * MOST_SHORT_PART))])
+    return set(order[: min(count, int(len(order) * MAX_RESERVED_FRACTION))])
 
 
-def weigh(
+def evaluate(
     record: endpoint_records.EndpointRecord,
     demand: endpoint_records.Demand,
     has_affinity: bool,
@@ -179,14 +180,14 @@
         has_affinity: Whether the endpoint has affinity for the request.
         now: The current time.
     """
-    unread = record.unread(demand, has_affinity)
+    unread = record.prefill_tokens(demand, has_affinity)
     return Choice(
         record,
         unread,
         record.predicted_s(demand, unread, now),
         record.loads.running(now),
-        record.loads.ahead(demand.urgency, now),
-        record.loads.waiting(now),
+        record.loads.tokens_ahead(demand.urgency, now),
+        record.loads.backlog_tokens(now),
         record.loads.short_running(now),
         round(record.debt(now)),
         max(0, unread - (demand.prompt_tokens - demand.shared_tokens)),
@@ -200,9 +201,9 @@
     record = choice.record
     cost = choice.predicted_s + record.failures.value * FAILURE_COST_S
     if record.zone != demand.zone:
-        cost += FAR_ZONE_S
+        cost += CROSS_ZONE_LATENCY_S
     if demand.is_engine:
-        cost += choice.again * SHARED_TOKEN_COST_S
+        cost += choice.repeated_prefill_tokens * SHARED_PREFILL_COST_S
         if demand.is_long:
             cost += _long_cost_s(choice, demand, reserved)
         elif not reserved and not record.limited:
@@ -218,12 +219,14 @@
     Short streams also count on an endpoint that is no longer reserved for them:
     a prefill of 16,450 tokens delayed all 25 streams that still ran there.
     """
-    if demand.reads_beside_streams or not (reserved or choice.short_running):
+    if demand.tolerates_prefill or not (reserved or choice.short_running):
         return 0.0
-    delay_s = demand.figures.prefill_s(choice.unread + choice.waiting)
+    delay_s = demand.profile.prefill_s(
+        choice.prefill_tokens + choice.backlog_tokens
+    )
     if delay_s <= MAX_DELAY_FRACTION * (demand.shortest_pause_s or 0.0):
         return LONG_BESIDE_SHORT_COST_S
-    streams_cost_s = choice.short_running * LONG_A_SHORT_STREAM_S
+    streams_cost_s = choice.short_running * LONG_COST_PER_SHORT_STREAM_S
     return max(streams_cost_s, LONG_ON_RESERVED_COST_S if reserved else 0.0)
 
 
@@ -233,9 +236,11 @@
     reserved: set[str],
 ) -> str | None:
     """Returns the id of the endpoint with affinity for a request, or None."""
-    if demand.subject is None:
+    if demand.affinity_key is None:
         return None
     matching = [
         r.id for r in records if (r.id in reserved) is not demand.is_long
     ]
-    return rendezvous.owner(matching or [r.id for r in records], demand.subject)
+    return rendezvous.owner(
+        matching or [r.id for r in records], demand.affinity_key
+    )
--- a/martenjunction/decisions/boxes/endpoint_limits.py
+++ b/martenjunction/decisions/boxes/endpoint_limits.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Word:
+class LimitReport:
     """The latest limit reported for an endpoint.
 
     Attributes:
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
+class LimitChange:
     """A change of an endpoint's limit.
 
     Attributes:
@@ -49,10 +49,10 @@
     """The limits of all endpoints, as known to one box."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, Word] = {}
+        self._reports: dict[str, LimitReport] = {}
 
     @property
-    def words(self) -> dict[str, Word]:
+    def reports(self) -> dict[str, LimitReport]:
         """The latest report of each endpoint by id; read-only."""
         return self._reports
 
@@ -67,13 +67,13 @@
         report = self._reports.get(endpoint_id)
         return None if report is None else report.per_s
 
-    def say(
+    def apply_response(
         self,
         endpoint_id: str,
         per_s: float | None,
         asked_at: float,
         now: float,
-    ) -> Change | None:
+    ) -> LimitChange | None:
         """Applies the limit in a response to this box.
 
         If the request was sent before the current report was received, the
@@ -89,16 +89,16 @@
         Returns:
             The change, or None if nothing changed.
         """
-        per_s = grant_bucket.binding(per_s)
+        per_s = grant_bucket.effective_limit(per_s)
         report = self._reports.get(endpoint_id)
         may_be_older = report is not None and asked_at < report.since
         if may_be_older and not _is_stricter(per_s, self.per_s(endpoint_id)):
             return None
         return self._set(endpoint_id, per_s, now)
 
-    def take(
+    def apply_peer_report(
         self, endpoint_id: str, per_s: float | None, since: float
-    ) -> Change | None:
+    ) -> LimitChange | None:
         """Applies a limit that another box reports.
 
         Args:
@@ -112,7 +112,9 @@
         report = self._reports.get(endpoint_id)
         if report is not None and since <= report.since:
             return None
-        return self._set(endpoint_id, grant_bucket.binding(per_s), since)
+        return self._set(
+            endpoint_id, grant_bucket.effective_limit(per_s), since
+        )
 
     def is_open(self, endpoint_id: str, now: float) -> bool:
         """Returns whether a request may be sent to an endpoint now."""
@@ -125,13 +127,13 @@
             return 0.0
         return max(0.0, report.blocked_until - now)
 
-    def close(self, endpoint_id: str, until: float) -> None:
+    def block_until(self, endpoint_id: str, until: float) -> None:
         """Stops this box from requesting grants until a given time."""
         report = self._reports.get(endpoint_id)
         if report is not None:
             report.blocked_until = until
 
-    def keep_only(self, listed: Container[str], now: float) -> None:
+    def prune(self, listed: Container[str], now: float) -> None:
         """Removes expired reports.
 
         Args:
@@ -149,7 +151,7 @@
 
     def _set(
         self, endpoint_id: str, per_s: float | None, since: float
-    ) -> Change | None:
+    ) -> LimitChange | None:
         report = self._reports.get(endpoint_id)
         before = None if report is None else report.per_s
         if per_s == before:
@@ -157,8 +159,8 @@
         self._reports.pop(endpoint_id, None)
         while len(self._reports) >= MAX_REPORTS:
             del self._reports[next(iter(self._reports))]
-        self._reports[endpoint_id] = Word(per_s, since)
-        return Change(before, per_s)
+        self._reports[endpoint_id] = LimitReport(per_s, since)
+        return LimitChange(before, per_s)
 
 
 def _is_stricter(per_s: float | None, other: float | None) -> bool:
--- a/martenjunction/decisions/boxes/endpoint_list.py
+++ b/martenjunction/decisions/boxes/endpoint_list.py
@@ -83,7 +83,7 @@
         return self._revision
 
     @property
-    def known(self) -> bool:
+    def has_listing(self) -> bool:
         """Whether a full listing was ever applied."""
         return self._revision > revisions.NONE
 
@@ -93,7 +93,7 @@
         return self._listed
 
     @property
-    def names(self) -> Set[str]:
+    def entry_names(self) -> Set[str]:
         """The names of all entries; read-only."""
         return self._current_ids.keys()
 
@@ -117,7 +117,7 @@
 
     def ready_ids(self) -> list[str]:
         """Returns the sorted ids of endpoints that may receive new requests."""
-        return sorted(i for i in self._listed if self.may_send(i))
+        return sorted(i for i in self._listed if self.is_ready(i))
 
     def digest(self) -> int:
         """Returns a digest of the ids of ready endpoints."""
@@ -126,7 +126,7 @@
             self._digest = xxhash.xxh3_64_intdigest(ids.encode())
         return self._digest
 
-    def may_send(self, endpoint_id: str) -> bool:
+    def is_ready(self, endpoint_id: str) -> bool:
         """Returns whether an endpoint may receive new requests now."""
         listed = self._listed.get(endpoint_id)
         return (
@@ -134,7 +134,7 @@
             and listed.endpoint.state is model.EndpointState.READY
         )
 
-    def take_listing(
+    def apply_listing(
         self,
         entries: Iterable[tuple[model.Endpoint, revisions.Revision]],
         revision: revisions.Revision,
@@ -157,7 +157,7 @@
             lambda i: self._handle_missing(i, revision, now),
         )
 
-    def take_view(
+    def apply_peer_view(
         self,
         changed: Iterable[tuple[model.Endpoint, revisions.Revision]],
         ready: Set[str],
@@ -209,7 +209,7 @@
         self._unconfirmed_until = now + CONFIRMATION_S
         self._unconfirmed.clear()
 
-    def take_change(
+    def apply_entry(
         self, endpoint: model.Endpoint, revision: revisions.Revision
     ) -> list[str]:
         """Applies an entry; returns the ids that may no longer get requests."""
@@ -225,7 +225,7 @@
         self._ended.pop(endpoint.id, None)
         self._unconfirmed.pop(endpoint.id, None)
         listed = self._listed.get(endpoint.id)
-        was_ready = self.may_send(endpoint.id)
+        was_ready = self.is_ready(endpoint.id)
         known_to_leave = listed is not None and not was_ready
         if known_to_leave or endpoint.id in self._leaving:
             # Leaving is final: later states of the entry do not undo it.
@@ -252,7 +252,7 @@
             and revision <= self._era_start
         )
 
-    def take_end(
+    def apply_removal(
         self, entry: str, revision: revisions.Revision, now: float
     ) -> list[str]:
         """Applies the removal of an entry.
@@ -272,7 +272,7 @@
             self._current_ids.get(entry, ""), revision, now
         )
 
-    def take_foreign(
+    def apply_unparsable(
         self, entry: str, revision: revisions.Revision
     ) -> list[str]:
         """Handles an entry that no longer describes an endpoint.
@@ -311,12 +311,14 @@
         if listed is None or listed.revision > revision:
             return []
         in_grace = self._store_lost or now < self._grace_until
-        if in_grace and self.may_send(endpoint_id):
+        if in_grace and self.is_ready(endpoint_id):
             listed.lapsed = True
             return []
         return self._drop(endpoint_id, revision)
 
-    def leave(self, endpoint_id: str, revision: revisions.Revision) -> bool:
+    def mark_draining(
+        self, endpoint_id: str, revision: revisions.Revision
+    ) -> bool:
         """Marks an endpoint as draining.
 
         Args:
@@ -327,7 +329,7 @@
             Whether the endpoint's state changed.
         """
         listed = self._listed.get(endpoint_id)
-        if not self.may_send(endpoint_id) or listed is None:
+        if not self.is_ready(endpoint_id) or listed is None:
             return False
         if listed.revision > revision and not self._unchanged_since_restore(
             listed.revision, revision
@@ -349,7 +351,7 @@
         """
         return reported.era < listed.era and listed <= self._era_start
 
-    def say_leaving(self, endpoint_id: str) -> bool:
+    def mark_leaving(self, endpoint_id: str) -> bool:
         """Records that an endpoint itself announced that it is leaving.
 
         This is final for this incarnation, whatever its entry says.
@@ -417,7 +419,7 @@
         for endpoint_id, entry in unconfirmed.items():
             self._ended.pop(endpoint_id, None)
             if entry.endpoint.entry not in self._current_ids:
-                self.take_change(entry.endpoint, entry.revision)
+                self.apply_entry(entry.endpoint, entry.revision)
 
     def _take_all(
         self,
@@ -444,7 +446,7 @@
         removed: list[str] = []
         for endpoint, entry_revision in entries:
             present.add(endpoint.id)
-            removed += self.take_change(endpoint, entry_revision)
+            removed += self.apply_entry(endpoint, entry_revision)
         for missing in [i for i in self._listed if i not in present]:
             removed += handle_missing(missing)
         for missing in [i for i in self._unconfirmed if i not in present]:
@@ -453,7 +455,7 @@
         return removed
 
     def _remove(self, endpoint_id: str, revision: revisions.Revision) -> None:
-        if self.may_send(endpoint_id):
+        if self.is_ready(endpoint_id):
             self._digest = None
         while len(self._ended) >= MAX_ENDED:
             del self._ended[next(iter(self._ended))]
--- a/martenjunction/decisions/boxes/endpoint_loads.py
+++ b/martenjunction/decisions/boxes/endpoint_loads.py
@@ -30,11 +30,12 @@
 
     Attributes:
         running: Requests at the endpoint, including queued ones.
-        unread: Prompt tokens that the endpoint has yet to prefill for them.
+        backlog_tokens: Prompt tokens that the endpoint has yet to prefill for
+            them.
     """
 
     running: int = 0
-    unread: int = 0
+    backlog_tokens: int = 0
 
 
 class EndpointLoads:
@@ -72,10 +73,10 @@
         """Adds to the load of this box; negative values remove load."""
         load = self._own.setdefault(key, Load())
         load.running += running
-        load.unread += unread
+        load.backlog_tokens += unread
         self._add_total(key, running, unread)
 
-    def take_peer(
+    def update_peer(
         self, box: str, loads: dict[LoadKey, Load], now: float
     ) -> None:
         """Replaces the load reported by another box."""
@@ -97,7 +98,7 @@
         self._expire_peers(now)
         return self._extrapolate(self._total_short)
 
-    def ahead(self, urgency: int, now: float) -> int:
+    def tokens_ahead(self, urgency: int, now: float) -> int:
         """Returns the prefill backlog in tokens that is served first.
 
         Args:
@@ -107,13 +108,13 @@
         self._expire_peers(now)
         return self._extrapolate(
             sum(
-                load.unread
+                load.backlog_tokens
                 for key, load in self._total.items()
                 if key.urgency <= urgency
             )
         )
 
-    def lower_tiers(self, urgency: int, now: float) -> int:
+    def running_below(self, urgency: int, now: float) -> int:
         """Returns the number of requests on routes of a lower tier.
 
         Args:
@@ -128,7 +129,7 @@
             if key.urgency // WORKSPACE_TIERS > tier
         )
 
-    def waiting(self, now: float) -> int:
+    def backlog_tokens(self, now: float) -> int:
         """Returns the prefill backlog of all boxes in tokens."""
         self._expire_peers(now)
         return self._extrapolate(self._total_backlog)
@@ -139,12 +140,14 @@
 
     def _add_peer(self, loads: dict[LoadKey, Load], sign: int) -> None:
         for key, load in loads.items():
-            self._add_total(key, sign * load.running, sign * load.unread)
+            self._add_total(
+                key, sign * load.running, sign * load.backlog_tokens
+            )
 
     def _add_total(self, key: LoadKey, running: int, unread: int) -> None:
         total = self._total.setdefault(key, Load())
         total.running += running
-        total.unread += unread
+        total.backlog_tokens += unread
         self._total_running += running
         self._total_backlog += unread
         if not key.is_long:
--- a/martenjunction/decisions/boxes/endpoint_records.py
+++ b/martenjunction/decisions/boxes/endpoint_records.py
@@ -8,8 +8,8 @@
 from martenjunction.decisions import endpoint_states
 from martenjunction.decisions import estimates
 from martenjunction.decisions.boxes import endpoint_loads
-from martenjunction.decisions.boxes import engine_figures
-from martenjunction.decisions.boxes import reading_demand
+from martenjunction.decisions.boxes import engine_profiles
+from martenjunction.decisions.boxes import prefill_demand
 
 # Fraction of an engine's prefill rate up to which long prompts are sent to it.
 # While it prefills without a break, its streams get a token only after each
@@ -31,7 +31,7 @@
 QUEUE_DELAY_S = 0.01
 
 # Initial estimate in seconds of a plain service's response time.
-PLAIN_ANSWER_S = 0.03
+INITIAL_RESPONSE_S = 0.03
 
 # Weight of one observation of an engine's slowness, and the number of
 # observations that the initial value of 1 counts for. Single first events may
@@ -61,8 +61,8 @@
         pause_s: The pause limit between events of its own stream; None for no
             limit.
         tokens_per_event: Tokens in one event of a stream.
-        figures: Performance profile of the service's engines.
-        asked: Prefill demand of all requests of the service.
+        profile: Performance profile of the service's engines.
+        prefill_rates: Prefill demand of all requests of the service.
     """
 
     service: str
@@ -75,19 +75,19 @@
     shortest_pause_s: float | None = None
     pause_s: float | None = None
     tokens_per_event: int = 1
-    figures: engine_figures.EngineFigures = engine_figures.EngineFigures()
-    asked: reading_demand.ReadingRates = reading_demand.ReadingRates()
+    profile: engine_profiles.EngineProfile = engine_profiles.EngineProfile()
+    prefill_rates: prefill_demand.PrefillRates = prefill_demand.PrefillRates()
 
     @property
-    def reads_beside_streams(self) -> bool:
+    def tolerates_prefill(self) -> bool:
         """Whether streams stay within their pause limit during prefill."""
         if self.shortest_pause_s is None:
             return True
-        pause_s = self.tokens_per_event * self.figures.reading_token_s
+        pause_s = self.tokens_per_event * self.profile.prefill_token_interval_s
         return pause_s <= self.shortest_pause_s - PAUSE_MARGIN_S
 
     @property
-    def subject(self) -> str | None:
+    def affinity_key(self) -> str | None:
         """The id of the last part that other requests may share, or None."""
         if not self.parts:
             return None
@@ -116,7 +116,7 @@
         fraction = LONG_PAUSE_FRACTION
         if self.pause_s is not None and self.pause_s <= self.shortest_pause_s:
             fraction = LONG_OWN_PAUSE_FRACTION
-        prefill_s = self.figures.prefill_s(self.prompt_tokens)
+        prefill_s = self.profile.prefill_s(self.prompt_tokens)
         return prefill_s > fraction * self.shortest_pause_s
 
 
@@ -147,7 +147,7 @@
         self.slots = slots
         self.cache_tokens = cache_tokens
         self.failures = estimates.Average(0.0, weight=0.15)
-        self.answer_s = estimates.Average(PLAIN_ANSWER_S, weight=0.15)
+        self.response_s = estimates.Average(INITIAL_RESPONSE_S, weight=0.15)
         self.slowness = estimates.Average(
             1.0, SLOWNESS_WEIGHT, start_counts=SLOWNESS_INITIAL_WEIGHT
         )
@@ -156,7 +156,7 @@
         )
         self.refusals = endpoint_refusals.Refusals()
         self.limited = False
-        self.figures = engine_figures.EngineFigures()
+        self.profile = engine_profiles.EngineProfile()
         self.loads = endpoint_loads.EndpointLoads()
         self._parts: collections.OrderedDict[str, int] = (
             collections.OrderedDict()
@@ -172,12 +172,12 @@
         """Prefill tokens that this box has sent since listing the endpoint."""
         return self._sent_tokens
 
-    def sent(self, unread: int, now: float) -> None:
+    def record_sent(self, unread: int, now: float) -> None:
         """Records prefill tokens that this box sends to the endpoint."""
         self._sent_tokens += unread
         self._add_debt(unread, now)
 
-    def take_peer_sent(self, box: str, total: int, now: float) -> None:
+    def update_peer_sent(self, box: str, total: int, now: float) -> None:
         """Updates the total of tokens that another box has sent."""
         before = self._peer_sent.get(box, total)
         self._peer_sent[box] = total
@@ -186,14 +186,14 @@
 
     def debt(self, now: float) -> float:
         """Returns the tokens sent in excess of the rate for long prompts."""
-        rate = self.figures.prefill_tokens_per_s * MAX_LONG_RATE_FRACTION
+        rate = self.profile.prefill_tokens_per_s * MAX_LONG_RATE_FRACTION
         return max(0.0, self._debt - (now - self._debt_at) * rate)
 
     def _add_debt(self, tokens: int, now: float) -> None:
         self._debt = self.debt(now) + tokens
         self._debt_at = now
 
-    def remember(self, parts: Iterable[tuple[str, int]]) -> None:
+    def record_cached(self, parts: Iterable[tuple[str, int]]) -> None:
         """Records the parts of a prompt that the endpoint has prefilled."""
         for name, tokens in parts:
             previous = self._parts.pop(name, 0)
@@ -203,7 +203,7 @@
             _, tokens = self._parts.popitem(last=False)
             self._cached_tokens -= tokens
 
-    def held(self, parts: Iterable[tuple[str, int]]) -> int:
+    def cached_tokens(self, parts: Iterable[tuple[str, int]]) -> int:
         """Returns the number of a prompt's leading tokens probably cached."""
         total = 0
         for name, tokens in parts:
@@ -220,9 +220,9 @@
         """Returns whether the endpoint is healthy or due for a probe."""
         if self.health.state is endpoint_states.EndpointState.EJECTED:
             return self.loads.own_running == 0 and self.health.trial_due(now)
-        return not self.refusals.pauses(now)
+        return not self.refusals.is_deprioritized(now)
 
-    def unread(self, demand: Demand, has_affinity: bool) -> int:
+    def prefill_tokens(self, demand: Demand, has_affinity: bool) -> int:
         """Returns the prompt tokens that the endpoint would have to prefill.
 
         Args:
@@ -230,7 +230,7 @@
             has_affinity: Whether the endpoint has affinity for the request, so
                 that another box has probably sent the shared parts already.
         """
-        cached = self.held(demand.parts)
+        cached = self.cached_tokens(demand.parts)
         if has_affinity:
             cached = max(cached, demand.shared_tokens)
         return max(1, demand.prompt_tokens - cached)
@@ -246,11 +246,11 @@
         running = self.loads.running(now)
         if not demand.is_engine:
             excess = max(0.0, (running + 1 - self.slots) / self.slots)
-            return self.answer_s.value * (
+            return self.response_s.value * (
                 1 + excess + 0.5 * running / self.slots
             )
         expected_s = self._queue_s(demand, unread, now)
-        if demand.reads_beside_streams and not demand.is_long:
+        if demand.tolerates_prefill and not demand.is_long:
             expected_s += self._interference_s(demand, now)
         return expected_s * self.slowness.value
 
@@ -260,10 +260,14 @@
         Each token of the event waits for a chunk that is prefilled beside it.
         """
         later_tokens = max(
-            0, self.loads.waiting(now) - self.loads.ahead(demand.urgency, now)
+            0,
+            self.loads.backlog_tokens(now)
+            - self.loads.tokens_ahead(demand.urgency, now),
         )
-        longest_s = demand.tokens_per_event * demand.figures.reading_token_s
-        return min(demand.figures.prefill_s(later_tokens), longest_s)
+        longest_s = (
+            demand.tokens_per_event * demand.profile.prefill_token_interval_s
+        )
+        return min(demand.profile.prefill_s(later_tokens), longest_s)
 
     def _queue_s(self, demand: Demand, unread: int, now: float) -> float:
         """Predicts the seconds to a first event at an engine's usual speed.
@@ -274,10 +278,10 @@
             now: The current time.
         """
         running = self.loads.running(now)
-        ahead = float(self.loads.ahead(demand.urgency, now))
+        ahead = float(self.loads.tokens_ahead(demand.urgency, now))
         if demand.is_long:
             ahead = max(ahead, self.debt(now))
-        prefill_s = demand.figures.prefill_s(unread + ahead)
+        prefill_s = demand.profile.prefill_s(unread + ahead)
         queue_s = max(0, running + 1 - self.slots) * QUEUE_DELAY_S
         steps_s = running * STEP_DELAY_S
         return FIRST_EVENT_BASE_S + prefill_s + steps_s + queue_s
--- a/martenjunction/decisions/boxes/engine_figures.py
+++ b/martenjunction/decisions/boxes/engine_profiles.py
@@ -28,7 +28,7 @@
 # estimate counts, and the quantile that is used. Load from other boxes that is
 # reported late makes single observations too low but never too high.
 MAX_PREFILLS = 64
-ENOUGH_READS = 3
+MIN_PREFILLS = 3
 RATE_QUANTILE = 0.9
 
 # Pauses during prefill are grouped in blocks, and a box's own estimate counts
@@ -36,8 +36,8 @@
 # own high quantiles, because only busy periods show how long pauses get while
 # an engine prefills chunk after chunk. A box sees about 15 such pauses a
 # second.
-BLOCK_PAUSES = 64
-ENOUGH_BLOCKS = 3
+PAUSES_PER_BLOCK = 64
+MIN_BLOCKS = 3
 MAX_BLOCKS = 24
 PAUSE_QUANTILE = 0.97
 BLOCK_QUANTILE = 0.9
@@ -54,30 +54,30 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineProfile:
     """Performance profile of the engines of a service.
 
     Attributes:
         prefill_tokens_per_s: Prompt tokens per second that an engine prefills
             beside its streams.
-        reading_token_s: Seconds that a stream waits for each token while its
-            engine prefills prompts without a break.
+        prefill_token_interval_s: Seconds that a stream waits for each token
+            while its engine prefills prompts without a break.
     """
 
     prefill_tokens_per_s: float = INITIAL_PREFILL_TOKENS_PER_S
-    reading_token_s: float = INITIAL_TOKEN_INTERVAL_S
+    prefill_token_interval_s: float = INITIAL_TOKEN_INTERVAL_S
 
     def prefill_s(self, tokens: float) -> float:
         """Returns the time in seconds to prefill a number of prompt tokens."""
         return tokens / self.prefill_tokens_per_s
 
-    def is_like(self, other: "EngineFigures") -> bool:
+    def is_close_to(self, other: "EngineProfile") -> bool:
         """Returns whether the difference is too small to be logged."""
         return all(
             math.isclose(mine, theirs, rel_tol=LOGGED_CHANGE)
             for mine, theirs in (
                 (self.prefill_tokens_per_s, other.prefill_tokens_per_s),
-                (self.reading_token_s, other.reading_token_s),
+                (self.prefill_token_interval_s, other.prefill_token_interval_s),
             )
         )
 
@@ -94,26 +94,26 @@
     @property
     def estimate(self) -> float | None:
         """The estimated pause in seconds, or None with too few blocks."""
-        if len(self._quantiles) < ENOUGH_BLOCKS:
+        if len(self._quantiles) < MIN_BLOCKS:
             return None
         return _quantile(self._quantiles, BLOCK_QUANTILE)
 
     def add(self, pause_s: float) -> None:
         self._block.append(pause_s)
-        if len(self._block) == BLOCK_PAUSES:
+        if len(self._block) == PAUSES_PER_BLOCK:
             self._quantiles.append(_quantile(self._block, PAUSE_QUANTILE))
             self._block = []
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LearntFigures:
+class ProfileEstimate:
     """Estimates of one box; None where it has too few observations."""
 
     prefill_tokens_per_s: float | None = None
-    reading_token_s: float | None = None
+    prefill_token_interval_s: float | None = None
 
 
-class FiguresLearner:
+class ProfileEstimator:
     """Estimates the profile of one service's engines together with peers.
 
     Each box with enough observations contributes one estimate, and boxes
@@ -126,26 +126,26 @@
             maxlen=MAX_PREFILLS
         )
         self._pauses = _PauseEstimator()
-        self._own = LearntFigures()
-        self._peers: dict[str, tuple[float, LearntFigures]] = {}
-        self._figures = EngineFigures()
+        self._own = ProfileEstimate()
+        self._peers: dict[str, tuple[float, ProfileEstimate]] = {}
+        self._figures = EngineProfile()
 
     @property
-    def figures(self) -> EngineFigures:
-        """The combined profile as of the last `settle`."""
+    def profile(self) -> EngineProfile:
+        """The combined profile as of the last `recompute`."""
         return self._figures
 
     @property
-    def own(self) -> LearntFigures:
-        """The estimate of this box alone as of the last `settle`."""
+    def own(self) -> ProfileEstimate:
+        """The estimate of this box alone as of the last `recompute`."""
         return self._own
 
     @property
-    def voters(self) -> int:
+    def estimating_boxes(self) -> int:
         """Number of boxes with an estimate, as far as known here."""
-        return (self._own != LearntFigures()) + len(self._peers)
+        return (self._own != ProfileEstimate()) + len(self._peers)
 
-    def prompt_read(self, tokens: int, seconds: float) -> None:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
         """Records the first event of a prompt with no known backlog before it.
 
         Args:
@@ -155,7 +155,7 @@
         if tokens >= MIN_PREFILL_TOKENS and seconds > FIRST_EVENT_BASE_S:
             self._rates.append(tokens / (seconds - FIRST_EVENT_BASE_S))
 
-    def paused(self, token_s: float) -> None:
+    def record_pause(self, token_s: float) -> None:
         """Records the time per token of a stream during prefill.
 
         Args:
@@ -163,16 +163,18 @@
         """
         self._pauses.add(token_s)
 
-    def take_peer(self, box: str, estimate: LearntFigures, now: float) -> None:
+    def update_peer(
+        self, box: str, estimate: ProfileEstimate, now: float
+    ) -> None:
         """Replaces the estimate of another box."""
         self._peers[box] = (now, estimate)
 
-    def settle(self, now: float) -> None:
+    def recompute(self, now: float) -> None:
         """Recomputes the profile and drops expired ones of other boxes."""
         rate = None
-        if len(self._rates) >= ENOUGH_READS:
+        if len(self._rates) >= MIN_PREFILLS:
             rate = _quantile(self._rates, RATE_QUANTILE)
-        self._own = LearntFigures(rate, self._pauses.estimate)
+        self._own = ProfileEstimate(rate, self._pauses.estimate)
         for box, (reported_at, _) in list(self._peers.items()):
             if now - reported_at > PEER_ESTIMATE_LIFETIME_S:
                 del self._peers[box]
@@ -181,14 +183,14 @@
             *(estimate for _, estimate in self._peers.values()),
         ]
         previous = self._figures
-        self._figures = EngineFigures(
+        self._figures = EngineProfile(
             _combine(
                 (estimate.prefill_tokens_per_s for estimate in estimates),
                 previous.prefill_tokens_per_s,
             ),
             _combine(
-                (estimate.reading_token_s for estimate in estimates),
-                previous.reading_token_s,
+                (estimate.prefill_token_interval_s for estimate in estimates),
+                previous.prefill_token_interval_s,
             ),
         )
 
--- a/martenjunction/decisions/boxes/shedding.py
+++ b/martenjunction/decisions/boxes/load_shedding.py
@@ -24,23 +24,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Prospect:
+class AdmissionForecast:
     """Forecast for a request at its best endpoint.
 
     Attributes:
         predicted_s: Predicted seconds to the first event.
         target_s: Target in seconds for the first event.
-        came_back: Whether the request is a retry after a refusal.
+        is_retry: Whether the request is a retry after a refusal.
         busy: Whether requests queue at the endpoint or few slots are left.
     """
 
     predicted_s: float
     target_s: float
-    came_back: bool
+    is_retry: bool
     busy: bool
 
 
-def retry_after_s(prospect: Prospect) -> float | None:
+def retry_after_s(prospect: AdmissionForecast) -> float | None:
     """Returns the seconds until a retry, or None to admit the request.
 
     A refusal costs the client time and may be repeated, so a request is refused
@@ -48,14 +48,14 @@
     """
     if not prospect.busy:
         return None
-    fraction = RETRY_LATE_FRACTION if prospect.came_back else LATE_FRACTION
+    fraction = RETRY_LATE_FRACTION if prospect.is_retry else LATE_FRACTION
     if prospect.predicted_s < fraction * prospect.target_s:
         return None
     excess = prospect.predicted_s - 0.5 * prospect.target_s
     return min(max(excess, MIN_RETRY_S), MAX_RETRY_S)
 
 
-class DeadlineBook:
+class DeadlineTracker:
     """Longest deadline seen on each route, used to recognize retries."""
 
     # Maximum number of routes; the oldest are evicted.
@@ -64,7 +64,7 @@
     def __init__(self) -> None:
         self._longest: dict[str, float] = {}
 
-    def came_back(self, route: str, deadline_s: float | None) -> bool:
+    def is_retry(self, route: str, deadline_s: float | None) -> bool:
         """Records a request's deadline; returns whether it is a retry.
 
         A client that retries within its own time limit has less of it left.
--- a/martenjunction/decisions/boxes/peer_questions.py
+++ b/martenjunction/decisions/boxes/peer_queries.py
@@ -10,11 +10,11 @@
 
 # Maximum number of in-flight queries: one may go to a peer that does not
 # respond.
-MOST_UNDER_WAY = 2
+MAX_IN_FLIGHT = 2
 
 # Initial and maximum seconds to wait for a response before another query is
 # sent. The wait doubles after each timeout. Later responses still count.
-FIRST_WAIT_S = 0.4
+INITIAL_TIMEOUT_S = 0.4
 MAX_TIMEOUT_S = 1.6
 
 # Number of queries whose send time is remembered: at two per 0.4 s, those of
@@ -30,15 +30,15 @@
     overdue: bool = False
 
 
-class PeerQuestions:
+class PeerQueries:
     """In-flight queries of one box."""
 
     def __init__(self) -> None:
         self._queries: dict[int, _Query] = {}
         self._last_number = 0
-        self._timeout_s = FIRST_WAIT_S
+        self._timeout_s = INITIAL_TIMEOUT_S
 
-    def ask(self, box: str, now: float) -> int | None:
+    def begin_query(self, box: str, now: float) -> int | None:
         """Starts a query; returns its number, or None if it has to wait.
 
         Args:
@@ -50,7 +50,7 @@
             for query in self._queries.values()
             if self._is_pending(query, now)
         ]
-        if len(in_flight) >= MOST_UNDER_WAY:
+        if len(in_flight) >= MAX_IN_FLIGHT:
             return None
         if any(query.box == box for query in in_flight):
             return None
@@ -60,15 +60,15 @@
             del self._queries[next(iter(self._queries))]
         return self._last_number
 
-    def answered(self, number: int) -> float | None:
+    def complete_query(self, number: int) -> float | None:
         """Completes a query; returns its send time, or None if unknown."""
         query = self._queries.pop(number, None)
         if query is None:
             return None
-        self._timeout_s = FIRST_WAIT_S
+        self._timeout_s = INITIAL_TIMEOUT_S
         return query.sent_at
 
-    def unanswered_by(self, now: float) -> set[str]:
+    def unresponsive_peers(self, now: float) -> set[str]:
         """Returns the peers with a recent query that they have not answered.
 
         Args:
@@ -80,7 +80,7 @@
             if now - query.sent_at < 2 * MAX_TIMEOUT_S
         }
 
-    def lost(self, box: str) -> None:
+    def drop_peer(self, box: str) -> None:
         """Drops the queries to a peer whose connection was closed."""
         gone = [
             number
--- a/martenjunction/decisions/boxes/reading_demand.py
+++ b/martenjunction/decisions/boxes/prefill_demand.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadingRates:
+class PrefillRates:
     """Prefill demand in prompt tokens per second.
 
     Attributes:
@@ -31,15 +31,15 @@
     long: float = 0.0
 
 
-class ReadingDemand:
+class PrefillDemand:
     """Prefill demand of one service's requests at all boxes."""
 
     def __init__(self) -> None:
         self._short = _DecayingRate()
         self._long = _DecayingRate()
-        self._peers: dict[str, tuple[float, ReadingRates]] = {}
+        self._peers: dict[str, tuple[float, PrefillRates]] = {}
 
-    def note(self, tokens: int, is_long: bool, now: float) -> None:
+    def record_request(self, tokens: int, is_long: bool, now: float) -> None:
         """Records a request of this box.
 
         Args:
@@ -49,24 +49,24 @@
         """
         (self._long if is_long else self._short).add(tokens, now)
 
-    def own(self, now: float) -> ReadingRates:
+    def own_rates(self, now: float) -> PrefillRates:
         """Returns the demand of this box."""
-        return ReadingRates(self._short.rate(now), self._long.rate(now))
+        return PrefillRates(self._short.rate(now), self._long.rate(now))
 
-    def take_peer(self, box: str, rates: ReadingRates, now: float) -> None:
+    def update_peer(self, box: str, rates: PrefillRates, now: float) -> None:
         """Replaces the demand reported by another box."""
         self._peers[box] = (now, rates)
 
-    def total(self, now: float) -> ReadingRates:
+    def total_rates(self, now: float) -> PrefillRates:
         """Returns the demand of all boxes with a current report."""
         for box, (reported_at, _) in list(self._peers.items()):
             if now - reported_at > PEER_LIFETIME_S:
                 del self._peers[box]
         rates = [
-            self.own(now),
+            self.own_rates(now),
             *(reported for _, reported in self._peers.values()),
         ]
-        return ReadingRates(
+        return PrefillRates(
             sum(rate.short for rate in rates), sum(rate.long for rate in rates)
         )
 
--- a/martenjunction/decisions/boxes/repeat_budget.py
+++ b/martenjunction/decisions/boxes/retry_budget.py
@@ -9,7 +9,7 @@
 ALLOWANCE_FRACTION = 0.5
 
 
-class RepeatBudget:
+class RetryBudget:
     """The retries of one box, limited by service to the box's share."""
 
     def __init__(
@@ -40,11 +40,11 @@
         """Number of retries that were not granted."""
         return self._refused
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Records a request for a service."""
         self._add(self._requests, service, now)
 
-    def take(self, service: str, now: float) -> bool:
+    def try_acquire(self, service: str, now: float) -> bool:
         """Consumes a retry if the budget allows it; returns whether it did."""
         requests = self._count(self._requests, service, now)
         retries = self._count(self._retries, service, now)
--- a/martenjunction/decisions/boxes/store_readers.py
+++ b/martenjunction/decisions/boxes/store_readers.py
@@ -31,7 +31,7 @@
 # configuration, and the fraction of its link that the responses may use: 370 kB
 # every 0.6 s saturate a link of 5 Mbit/s.
 CONFIRM_INTERVAL_S = 0.6
-LONGEST_INTERVAL_S = 3.0
+MAX_CONFIRM_INTERVAL_S = 3.0
 CONFIRM_LINK_FRACTION = 0.2
 
 # Maximum age in seconds at which a higher-ranked reader is relied upon.
@@ -39,18 +39,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerAge:
+class PeerReaderState:
     """Reader state of another box.
 
     Attributes:
         box: The box.
-        reads: Whether it reads from the store and gets responses.
+        is_reader: Whether it reads from the store and gets responses.
         age_s: Seconds since its information was confirmed, or None for never.
         link_kb: Bandwidth of its link in kilobytes per second.
     """
 
     box: str
-    reads: bool
+    is_reader: bool
     age_s: float | None
     link_kb: int = 0
 
@@ -63,7 +63,7 @@
         link_bytes_s: Bandwidth of the reader's link in bytes per second.
     """
     paced = document_bytes / (link_bytes_s * CONFIRM_LINK_FRACTION)
-    return min(max(CONFIRM_INTERVAL_S, paced), LONGEST_INTERVAL_S)
+    return min(max(CONFIRM_INTERVAL_S, paced), MAX_CONFIRM_INTERVAL_S)
 
 
 class ReaderRole:
@@ -83,12 +83,15 @@
         self._reading_since: float | None = None
 
     @property
-    def first(self) -> bool:
+    def is_first(self) -> bool:
         """Whether the box has the highest rank in its group."""
         return self._rank == 0
 
     def decide(
-        self, peers: Sequence[PeerAge], own_age_s: float | None, now: float
+        self,
+        peers: Sequence[PeerReaderState],
+        own_age_s: float | None,
+        now: float,
     ) -> bool:
         """Updates the role; returns whether the box reads from now on.
 
@@ -116,7 +119,7 @@
         return own_age_s is None or own_age_s > limit
 
     def _keeps_reading(
-        self, order: list[str], peers: Sequence[PeerAge], now: float
+        self, order: list[str], peers: Sequence[PeerReaderState], now: float
     ) -> bool:
         if (
             self._reading_since is not None
@@ -125,7 +128,7 @@
             return True
         higher_ranked = set(order[: self._rank])
         return not any(
-            peer.reads and peer.age_s is not None and peer.age_s <= FRESH_S
+            peer.is_reader and peer.age_s is not None and peer.age_s <= FRESH_S
             for peer in peers
             if peer.box in higher_ranked
         )
--- a/martenjunction/decisions/boxes/suspect_table.py
+++ b/martenjunction/decisions/boxes/suspect_table.py
@@ -5,7 +5,7 @@
 import dataclasses
 import enum
 
-from martenjunction.decisions.boxes import endpoint_hazard
+from martenjunction.decisions.boxes import crash_rates
 from martenjunction.decisions.boxes import suspicion
 from martenjunction.routing import request_content
 
@@ -38,7 +38,7 @@
 
 # Back-off for trials of a quarantined request: initial delay in seconds, factor
 # per trial, and maximum delay in seconds.
-FIRST_RELEASE_S = 120.0
+INITIAL_RELEASE_S = 120.0
 RELEASE_FACTOR = 4.0
 MAX_RELEASE_S = 3600.0
 
@@ -63,14 +63,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ruling:
+class SuspectDecision:
     """A verdict with its parameters.
 
     Attributes:
         verdict: The verdict.
         generation: Generation of the run, if it is sent.
         epoch: Epoch in which the run is sent.
-        again_s: Seconds after which the verdict may change.
+        recheck_after_s: Seconds after which the verdict may change.
         avoid_builds: Builds to which the request must not be sent.
         trial: Number of the trial to which the run belongs; 0 if none.
     """
@@ -78,7 +78,7 @@
     verdict: Verdict
     generation: int = 1
     epoch: int = 0
-    again_s: float = 0.0
+    recheck_after_s: float = 0.0
     avoid_builds: frozenset[str] = frozenset()
     trial: int = 0
 
@@ -89,13 +89,13 @@
 
     Attributes:
         key: The request's key.
-        held: The evidence against it.
+        evidence: The evidence against it.
         changed_at: Time of the latest change of the evidence.
         trial_until: Time until which a trial may be running.
     """
 
     key: request_content.ContentKey
-    held: suspicion.Suspicion
+    evidence: suspicion.Suspicion
     changed_at: float
     trial_until: float = 0.0
 
@@ -112,7 +112,7 @@
         self._answered: collections.OrderedDict[
             request_content.ContentKey, float
         ] = collections.OrderedDict()
-        self._crash_rates: dict[str, endpoint_hazard.EndpointHazard] = {}
+        self._crash_rates: dict[str, crash_rates.CrashRate] = {}
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -124,12 +124,12 @@
         """Returns a suspect, or None if the request is not suspected."""
         return self._suspects.get(key)
 
-    def judge(
+    def decide(
         self,
         key: request_content.ContentKey,
         builds: frozenset[str],
         now: float,
-    ) -> Ruling:
+    ) -> SuspectDecision:
         """Returns the decision for a request without changing any state.
 
         Args:
@@ -139,16 +139,18 @@
         """
         suspect = self._suspects.get(key)
         if suspect is None:
-            return Ruling(Verdict.FREE)
-        evidence = suspect.held
+            return SuspectDecision(Verdict.FREE)
+        evidence = suspect.evidence
         generation = evidence.generation + 1
-        free = Ruling(Verdict.FREE, generation, evidence.epoch)
+        free = SuspectDecision(Verdict.FREE, generation, evidence.epoch)
         if generation == 1:
             return free
         if evidence.quarantined:
             return self._decide_quarantined(suspect, builds, now)
         if suspect.trial_until > now:
-            return Ruling(Verdict.WAIT, again_s=suspect.trial_until - now)
+            return SuspectDecision(
+                Verdict.WAIT, recheck_after_s=suspect.trial_until - now
+            )
         # A single outage ends many runs of a popular request at once, and a
         # trial that is still running after `OUTLIVED_S` has lasted longer than
         # the first runs.
@@ -156,33 +158,33 @@
             evidence.outlived or self._was_answered(key, now)
         ):
             return free
-        return Ruling(Verdict.ALONE, generation, evidence.epoch)
+        return SuspectDecision(Verdict.ALONE, generation, evidence.epoch)
 
     def _decide_quarantined(
         self, suspect: Suspect, builds: frozenset[str], now: float
-    ) -> Ruling:
-        evidence = suspect.held
+    ) -> SuspectDecision:
+        evidence = suspect.evidence
         generation = evidence.generation + 1
         delay_s = suspect.changed_at + release_delay_s(evidence) - now
         if suspect.trial_until > now:
-            return Ruling(
-                Verdict.QUARANTINED, again_s=suspect.trial_until - now
+            return SuspectDecision(
+                Verdict.QUARANTINED, recheck_after_s=suspect.trial_until - now
             )
         if builds - evidence.builds:
             # A new build may have fixed the fault.
-            return Ruling(
+            return SuspectDecision(
                 Verdict.ALONE,
                 generation,
                 evidence.epoch,
                 avoid_builds=evidence.builds,
             )
         if delay_s <= 0:
-            return Ruling(Verdict.ALONE, generation, evidence.epoch)
-        return Ruling(Verdict.QUARANTINED, again_s=delay_s)
+            return SuspectDecision(Verdict.ALONE, generation, evidence.epoch)
+        return SuspectDecision(Verdict.QUARANTINED, recheck_after_s=delay_s)
 
-    def ruling_after_wait(
+    def decide_after_wait(
         self, key: request_content.ContentKey, now: float
-    ) -> Ruling | None:
+    ) -> SuspectDecision | None:
         """Returns the decision for a request after its wait has expired.
 
         Requests wait while a trial of the same content is running.
@@ -197,11 +199,13 @@
         """
         suspect = self._suspects.get(key)
         if suspect is None:
-            return Ruling(Verdict.FREE)
-        if suspect.held.quarantined or not self._was_answered(key, now):
+            return SuspectDecision(Verdict.FREE)
+        if suspect.evidence.quarantined or not self._was_answered(key, now):
             return None
-        evidence = suspect.held
-        return Ruling(Verdict.ALONE, evidence.generation + 1, evidence.epoch)
+        evidence = suspect.evidence
+        return SuspectDecision(
+            Verdict.ALONE, evidence.generation + 1, evidence.epoch
+        )
 
     def begin_trial(
         self, key: request_content.ContentKey, now: float
@@ -210,10 +214,10 @@
         suspect = self._suspects.get(key)
         if suspect is None:
             return None
-        suspect.held.tries += 1
+        suspect.evidence.trials += 1
         suspect.trial_until = now + TRIAL_S
-        if suspect.held.quarantined:
-            suspect.held.releases += 1
+        if suspect.evidence.quarantined:
+            suspect.evidence.releases += 1
             suspect.changed_at = now
         return suspect
 
@@ -225,10 +229,10 @@
             trial: The trial's number; a later trial is not affected.
         """
         suspect = self._suspects.get(key)
-        if suspect is not None and suspect.held.tries == trial:
+        if suspect is not None and suspect.evidence.trials == trial:
             suspect.trial_until = 0.0
 
-    def note_outlived(
+    def record_outlived(
         self, key: request_content.ContentKey, epoch: int
     ) -> Suspect | None:
         """Records that a trial is still running after `OUTLIVED_S`.
@@ -241,20 +245,20 @@
             The suspect if it changed, otherwise None.
         """
         suspect = self._suspects.get(key)
-        if suspect is None or suspect.held.epoch != epoch:
+        if suspect is None or suspect.evidence.epoch != epoch:
             return None
-        if suspect.held.outlived or suspect.held.generation != 1:
+        if suspect.evidence.outlived or suspect.evidence.generation != 1:
             return None
-        suspect.held.outlived = True
+        suspect.evidence.outlived = True
         suspect.trial_until = 0.0
         return suspect
 
-    def note_end(
+    def record_crash(
         self,
         key: request_content.ContentKey,
         service: str,
         endpoint_id: str,
-        decision: Ruling,
+        decision: SuspectDecision,
         build: str,
         now: float,
     ) -> Suspect | None:
@@ -277,20 +281,20 @@
         if suspect is None:
             suspect = self._add(key, suspicion.Suspicion(service), now)
             generation = 1
-        elif suspect.held.epoch != decision.epoch:
+        elif suspect.evidence.epoch != decision.epoch:
             # The evidence from the start of the run has been cleared.
             generation = 1
-        before = suspect.held.generation
-        if not suspect.held.note_end(endpoint_id, generation, build):
+        before = suspect.evidence.generation
+        if not suspect.evidence.record_crash(endpoint_id, generation, build):
             return None
         self._update_times(suspect, before, now)
         # Only the box that sent the run decides. If every box did, the one with
         # the fewest observed crashes of other runs would decide for all.
-        if suspect.held.generation >= self.ends_needed(suspect, now):
-            suspect.held.quarantined = True
+        if suspect.evidence.generation >= self.crashes_needed(suspect, now):
+            suspect.evidence.quarantined = True
         return suspect
 
-    def note_answer(
+    def record_answer(
         self, key: request_content.ContentKey, service: str, now: float
     ) -> Suspect | None:
         """Records that an endpoint answered a run, which clears the request.
@@ -323,14 +327,14 @@
             The suspect if there was any evidence, otherwise None.
         """
         suspect = self._suspects.get(key)
-        if suspect is None or not suspect.held.generation:
+        if suspect is None or not suspect.evidence.generation:
             return None
-        suspect.held.clear()
+        suspect.evidence.clear()
         suspect.changed_at = now
         suspect.trial_until = 0.0
         return suspect
 
-    def take(
+    def merge_peer(
         self,
         key: request_content.ContentKey,
         evidence: suspicion.Suspicion,
@@ -351,41 +355,41 @@
             if not evidence.generation:
                 return None
             suspect = self._add(key, suspicion.Suspicion(evidence.service), now)
-        before = suspect.held.generation
-        previous_trial = (suspect.held.epoch, suspect.held.tries)
-        was_outlived = suspect.held.outlived
-        if not suspect.held.merge(evidence):
+        before = suspect.evidence.generation
+        previous_trial = (suspect.evidence.epoch, suspect.evidence.trials)
+        was_outlived = suspect.evidence.outlived
+        if not suspect.evidence.merge(evidence):
             return None
         self._update_times(suspect, before, now)
         if (
-            suspect.held.epoch,
-            suspect.held.tries,
-        ) > previous_trial and evidence.tries:
+            suspect.evidence.epoch,
+            suspect.evidence.trials,
+        ) > previous_trial and evidence.trials:
             suspect.trial_until = now + TRIAL_S
-        if suspect.held.outlived and not was_outlived:
+        if suspect.evidence.outlived and not was_outlived:
             suspect.trial_until = 0.0
         return suspect
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Removes expired suspects."""
         for suspect in list(self._suspects.values()):
-            evidence = suspect.held
+            evidence = suspect.evidence
             kept_s = (
                 MAX_RELEASE_S if evidence.quarantined else SUSPECT_LIFETIME_S
             )
             if now - suspect.changed_at > kept_s:
                 self._remove(suspect)
 
-    def ends_needed(self, suspect: Suspect, now: float) -> int:
+    def crashes_needed(self, suspect: Suspect, now: float) -> int:
         """Returns how many consecutive crashes put a request in quarantine."""
-        evidence = suspect.held
-        needed = self._crash_rate(evidence.service).ends_needed(
-            evidence.ends, now
+        evidence = suspect.evidence
+        needed = self._crash_rate(evidence.service).crashes_needed(
+            evidence.crashes, now
         )
-        minimum = endpoint_hazard.LEAST_ENDS
+        minimum = crash_rates.MIN_CRASHES
         if self._was_answered(suspect.key, now):
             minimum = MIN_CRASHES_IF_ANSWERED
-        concurrent = len(evidence.ends) - evidence.generation
+        concurrent = len(evidence.crashes) - evidence.generation
         return max(
             minimum, needed - max(0, concurrent) // CONCURRENT_PER_CONSECUTIVE
         )
@@ -398,7 +402,7 @@
             before: Its generation before the change.
             now: The current time.
         """
-        evidence = suspect.held
+        evidence = suspect.evidence
         suspect.changed_at = now
         if evidence.generation != before:
             suspect.trial_until = 0.0
@@ -409,12 +413,10 @@
         answered_at = self._answered.get(key)
         return answered_at is not None and now - answered_at <= ANSWERED_S
 
-    def _crash_rate(self, service: str) -> endpoint_hazard.EndpointHazard:
+    def _crash_rate(self, service: str) -> crash_rates.CrashRate:
         crash_rate = self._crash_rates.get(service)
         if crash_rate is None:
-            crash_rate = self._crash_rates[service] = (
-                endpoint_hazard.EndpointHazard()
-            )
+            crash_rate = self._crash_rates[service] = crash_rates.CrashRate()
         return crash_rate
 
     def _add(
@@ -447,11 +449,11 @@
 
 def release_delay_s(evidence: suspicion.Suspicion) -> float:
     """Returns the delay in seconds until a quarantined request's next trial."""
-    delay_s = FIRST_RELEASE_S * RELEASE_FACTOR**evidence.releases
+    delay_s = INITIAL_RELEASE_S * RELEASE_FACTOR**evidence.releases
     return min(delay_s, MAX_RELEASE_S)
 
 
 def weight(suspect: Suspect) -> tuple[bool, int, float]:
     """Returns a sort key that orders the least suspected request first."""
-    evidence = suspect.held
+    evidence = suspect.evidence
     return evidence.quarantined, evidence.generation, suspect.changed_at
--- a/martenjunction/decisions/boxes/suspicion.py
+++ b/martenjunction/decisions/boxes/suspicion.py
@@ -20,13 +20,13 @@
     Attributes:
         service: The service.
         epoch: Incremented each time an answer clears the request.
-        ends: Generations of the runs in this epoch whose endpoints crashed, by
-            endpoint id. A run's generation is 1 if no crash was known when it
-            began, otherwise one more than the highest known generation.
+        crashes: Generations of the runs in this epoch whose endpoints crashed,
+            by endpoint id. A run's generation is 1 if no crash was known when
+            it began, otherwise one more than the highest known generation.
             Concurrent runs, which a single outage may end, have the same
             generation.
         builds: Builds of the crashed endpoints: software and configuration.
-        tries: Number of trials, which run one at a time, in this epoch.
+        trials: Number of trials, which run one at a time, in this epoch.
         quarantined: Whether boxes have stopped sending the request.
         releases: Number of trials allowed by expired back-off since then.
         outlived: Whether a trial in this epoch was still running after
@@ -35,9 +35,9 @@
 
     service: str
     epoch: int = 0
-    ends: dict[str, int] = dataclasses.field(default_factory=dict)
+    crashes: dict[str, int] = dataclasses.field(default_factory=dict)
     builds: frozenset[str] = frozenset()
-    tries: int = 0
+    trials: int = 0
     quarantined: bool = False
     releases: int = 0
     outlived: bool = False
@@ -45,9 +45,11 @@
     @property
     def generation(self) -> int:
         """Number of consecutive crashes, each in a run begun after the last."""
-        return max(self.ends.values(), default=0)
+        return max(self.crashes.values(), default=0)
 
-    def note_end(self, endpoint_id: str, generation: int, build: str) -> bool:
+    def record_crash(
+        self, endpoint_id: str, generation: int, build: str
+    ) -> bool:
         """Records that an endpoint crashed during a run.
 
         Args:
@@ -58,7 +60,7 @@
         Returns:
             Whether the evidence changed.
         """
-        if self.ends.get(endpoint_id, 0) >= generation:
+        if self.crashes.get(endpoint_id, 0) >= generation:
             return False
         self._add_crashes({endpoint_id: generation})
         self._add_builds(frozenset({build}))
@@ -67,9 +69,9 @@
     def clear(self) -> None:
         """Starts a new epoch without any evidence."""
         self.epoch += 1
-        self.ends = {}
+        self.crashes = {}
         self.builds = frozenset()
-        self.tries = 0
+        self.trials = 0
         self.quarantined = False
         self.releases = 0
         self.outlived = False
@@ -82,9 +84,9 @@
         if other.epoch > self.epoch:
             self.clear()
             self.epoch = other.epoch
-        self._add_crashes(other.ends)
+        self._add_crashes(other.crashes)
         self._add_builds(other.builds)
-        self.tries = max(self.tries, other.tries)
+        self.trials = max(self.trials, other.trials)
         self.quarantined = self.quarantined or other.quarantined
         self.releases = max(self.releases, other.releases)
         self.outlived = self.outlived or other.outlived
@@ -93,9 +95,9 @@
     def _state(self) -> tuple[object, ...]:
         return (
             self.epoch,
-            dict(self.ends),
+            dict(self.crashes),
             self.builds,
-            self.tries,
+            self.trials,
             self.quarantined,
             self.releases,
             self.outlived,
@@ -103,11 +105,13 @@
 
     def _add_crashes(self, crashes: dict[str, int]) -> None:
         for endpoint_id, generation in crashes.items():
-            known = self.ends.get(endpoint_id, 0)
-            self.ends[endpoint_id] = max(known, generation)
+            known = self.crashes.get(endpoint_id, 0)
+            self.crashes[endpoint_id] = max(known, generation)
         # Ties are broken by id, so that all boxes keep the same crashes.
-        latest = sorted(self.ends.items(), key=lambda item: (-item[1], item[0]))
-        self.ends = dict(latest[:MAX_CRASHES])
+        latest = sorted(
+            self.crashes.items(), key=lambda item: (-item[1], item[0])
+        )
+        self.crashes = dict(latest[:MAX_CRASHES])
 
     def _add_builds(self, builds: frozenset[str]) -> None:
         self.builds = frozenset(sorted(self.builds | builds)[-MAX_BUILDS:])
--- a/martenjunction/decisions/boxes/tier_precedence.py
+++ b/martenjunction/decisions/boxes/tier_precedence.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self._services: dict[str, _ServiceState] = {}
 
-    def note_refused(self, service: str, tier: int, now: float) -> None:
+    def record_refusal(self, service: str, tier: int, now: float) -> None:
         """Records a request that was refused because no endpoint takes it.
 
         Args:
@@ -45,7 +45,7 @@
             state = self._services[service] = _ServiceState()
         state.refused_at[tier] = now
 
-    def holds_back(self, service: str, tier: int, now: float) -> bool:
+    def should_yield(self, service: str, tier: int, now: float) -> bool:
         """Returns whether a request has to yield to higher tiers.
 
         Args:
--- a/martenjunction/decisions/cells/cell_endpoints.py
+++ b/martenjunction/decisions/cells/cell_endpoints.py
@@ -3,7 +3,7 @@
 from collections.abc import Set
 
 from martenjunction.decisions import endpoint_states
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import placement
 from martenjunction.decisions.cells import places
 
@@ -47,21 +47,21 @@
         self._by_name.pop(name, None)
         self._places.remove(name)
 
-    def report(self, report: asks.LoadReport, now: float) -> None:
+    def report(self, report: dispatch_types.LoadReport, now: float) -> None:
         """Applies an endpoint's load report."""
         endpoint = self._by_name.get(report.endpoint)
         if endpoint is not None:
             endpoint.report(report, now)
             self.refresh(endpoint, now)
 
-    def start(self, run: asks.Run, now: float) -> None:
+    def start(self, run: dispatch_types.Run, now: float) -> None:
         """Records a run that occupies a slot."""
         endpoint = self._by_name.get(run.endpoint)
         if endpoint is not None:
             endpoint.start(run)
             self.refresh(endpoint, now)
 
-    def finish(self, run: asks.Run, now: float) -> None:
+    def finish(self, run: dispatch_types.Run, now: float) -> None:
         """Releases a run's slot."""
         endpoint = self._by_name.get(run.endpoint)
         if endpoint is not None:
@@ -81,20 +81,20 @@
             now: The current time.
         """
         endpoint = self._by_name[name]
-        endpoint.refusals.refuse(now)
+        endpoint.refusals.record_refusal(now)
         if rest_s:
             # No jitter is needed: only the cell's owner sends requests to it.
-            endpoint.refusals.ask_rest(rest_s, 0.0, now)
+            endpoint.refusals.start_backoff(rest_s, 0.0, now)
         self.refresh(endpoint, now)
 
-    def answered(self, run: asks.Run, now: float) -> None:
+    def answered(self, run: dispatch_types.Run, now: float) -> None:
         """Records that an endpoint answered a run."""
         endpoint = self._by_name[run.endpoint]
-        endpoint.refusals.answer(run.granted)
+        endpoint.refusals.record_answer(run.granted)
         self.refresh(endpoint, now)
 
     def set_rate_limit(
-        self, run: asks.Run, per_s: float | None, now: float
+        self, run: dispatch_types.Run, per_s: float | None, now: float
     ) -> None:
         """Applies the rate limit that an endpoint announces.
 
@@ -110,7 +110,7 @@
     def backoff_left_s(self, now: float) -> float:
         """Returns seconds until the earliest back-off ends; 0 if none."""
         ends = [
-            endpoint.refusals.rest_until - now
+            endpoint.refusals.backoff_until - now
             for endpoint in self._by_name.values()
             if endpoint.rests(now)
         ]
--- a/martenjunction/decisions/cells/cell_state.py
+++ b/martenjunction/decisions/cells/cell_state.py
@@ -2,10 +2,10 @@
 
 import dataclasses
 
-from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import cell_endpoints
 from martenjunction.decisions.cells import cell_pace
 from martenjunction.decisions.cells import dispatch_counts
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import granted_runs
 from martenjunction.decisions.cells import waiting_requests
 
@@ -34,12 +34,12 @@
         default_factory=dispatch_counts.DispatchCounts
     )
 
-    def add_run(self, run: asks.Run, now: float) -> None:
+    def add_run(self, run: dispatch_types.Run, now: float) -> None:
         """Records a run that occupies a slot."""
         self.runs.add(run)
         self.endpoints.start(run, now)
 
-    def remove_run(self, run: asks.Run, now: float) -> None:
+    def remove_run(self, run: dispatch_types.Run, now: float) -> None:
         """Releases a run's slot."""
         self.runs.remove(run)
         self.endpoints.finish(run, now)
--- a/martenjunction/decisions/cells/asks.py
+++ b/martenjunction/decisions/cells/dispatch_types.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class SlotRequest:
     """A request for a concurrency slot at an endpoint, without its body.
 
     All times are seconds on the clock of the dispatcher that holds it.
@@ -26,8 +26,8 @@
         avoid: Endpoints that already failed to serve it.
         preemptions: How often it was preempted.
         zones: Availability zones preferred by the operator's policies.
-        firm: Whether it is exempt from shedding, since it was admitted before
-            and then moved, preempted or retried.
+        exempt_from_shedding: Whether it is exempt from shedding, since it was
+            admitted before and then moved, preempted or retried.
     """
 
     request_id: str
@@ -45,7 +45,7 @@
     avoid: frozenset[str] = frozenset()
     preemptions: int = 0
     zones: tuple[str, ...] = ()
-    firm: bool = False
+    exempt_from_shedding: bool = False
 
     @property
     def deadline(self) -> float:
@@ -81,7 +81,7 @@
             share. It is then not preempted, which would defeat the share.
     """
 
-    ask: Ask
+    ask: SlotRequest
     endpoint: str
     granted: float
     predicted_first_token: float = 0.0
@@ -162,7 +162,7 @@
         first_token_s: Seconds from grant to the first token, or None.
         tokens: Tokens received.
         token_interval_s: Mean interval between tokens in seconds, or None.
-        rest_s: Back-off in seconds that the endpoint requested on refusal.
+        backoff_s: Back-off in seconds that the endpoint requested on refusal.
         answered: Whether the head of a response was received.
         limit_per_s: Rate limit announced by the endpoint in that response, in
             requests per second; None for no limit.
@@ -173,7 +173,7 @@
     first_token_s: float | None = None
     tokens: int = 0
     token_interval_s: float | None = None
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     answered: bool = False
     limit_per_s: float | None = None
 
--- a/martenjunction/decisions/cells/dispatcher.py
+++ b/martenjunction/decisions/cells/dispatcher.py
@@ -4,9 +4,9 @@
 import dataclasses
 import random
 
-from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import cell_state
 from martenjunction.decisions.cells import dispatch_counts
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import granted_runs
 from martenjunction.decisions.cells import granting
 from martenjunction.decisions.cells import outliers
@@ -97,11 +97,11 @@
         """Number of runs that occupy a slot."""
         return len(self._cell.runs)
 
-    def waiting_asks(self) -> Iterator[asks.Ask]:
+    def waiting_requests(self) -> Iterator[dispatch_types.SlotRequest]:
         """Returns the waiting requests, highest tier first."""
         return iter(self._cell.waiting)
 
-    def run(self, request_id: str) -> asks.Run | None:
+    def run(self, request_id: str) -> dispatch_types.Run | None:
         """Returns the run of a request, or None if it has no slot."""
         return self._cell.runs.find(request_id)
 
@@ -121,11 +121,11 @@
         """Removes an endpoint; its runs end when their entry reports it."""
         self._cell.endpoints.remove(name)
 
-    def report(self, report: asks.LoadReport, now: float) -> None:
+    def report(self, report: dispatch_types.LoadReport, now: float) -> None:
         """Applies an endpoint's load report."""
         self._cell.endpoints.report(report, now)
 
-    def silent(self, name: str, now: float) -> None:
+    def mark_unreachable(self, name: str, now: float) -> None:
         """Records that an endpoint could not be reached."""
         endpoint = self._cell.endpoints.by_name.get(name)
         if endpoint is not None:
@@ -133,7 +133,9 @@
 
     # Request events.
 
-    def submit(self, ask: asks.Ask, now: float) -> list[asks.Decision]:
+    def submit(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> list[dispatch_types.Decision]:
         """Adds a request.
 
         Returns:
@@ -145,12 +147,20 @@
         self._granting.record_arrival(ask.tier, now)
         delay = self.predicted_delay(ask.tier, now)
         left = ask.patience - (now - ask.arrived)
-        if self._settings.shed_by_delay and not ask.firm and delay > left:
-            return [self._sheds.shed(ask, asks.ShedReason.DELAY, delay - left)]
+        if (
+            self._settings.shed_by_delay
+            and not ask.exempt_from_shedding
+            and delay > left
+        ):
+            return [
+                self._sheds.shed(
+                    ask, dispatch_types.ShedReason.DELAY, delay - left
+                )
+            ]
         self._cell.waiting.push(ask, now)
         return self._enforce_max_waiting(now)
 
-    def adopt(self, run: asks.Run) -> None:
+    def adopt(self, run: dispatch_types.Run) -> None:
         """Records a run granted by a previous owner of the cell."""
         self.withdraw(run.ask.request_id)
         known = self._cell.runs.find(run.ask.request_id)
@@ -186,7 +196,7 @@
         self._outliers.observe(endpoint, ratio, now)
         endpoint.speed.learn(seconds, run.uncached, run.batch)
 
-    def ended(self, end: asks.RunEnd, now: float) -> None:
+    def ended(self, end: dispatch_types.RunEnd, now: float) -> None:
         """Releases a run's slot and updates estimates from its end."""
         run = self._cell.runs.find(end.request_id)
         if run is None:
@@ -195,27 +205,29 @@
         endpoint = self._cell.endpoints.by_name.get(run.endpoint)
         if endpoint is None:
             return
-        if end.ending is asks.Ending.COMPLETE:
+        if end.ending is dispatch_types.Ending.COMPLETE:
             self._cell.endpoints.answered(run, now)
             self._cell.pace.completed(now - run.granted)
-        if end.ending is asks.Ending.REFUSED:
-            self._cell.endpoints.refused(endpoint.name, end.rest_s, now)
+        if end.ending is dispatch_types.Ending.REFUSED:
+            self._cell.endpoints.refused(endpoint.name, end.backoff_s, now)
         if end.answered:
             self._cell.endpoints.set_rate_limit(run, end.limit_per_s, now)
         if end.token_interval_s is not None:
             endpoint.speed.interval_s.add(end.token_interval_s)
-        if end.ending in asks.FAULTS:
-            reached = end.ending is not asks.Ending.NOT_REACHED
+        if end.ending in dispatch_types.FAULTS:
+            reached = end.ending is not dispatch_types.Ending.NOT_REACHED
             self._outliers.fault(endpoint, now, reached)
 
     def forget_entry(self, entry: str, now: float) -> None:
         """Drops all requests of an entry daemon that has failed."""
-        for ask in list(self.waiting_asks()):
+        for ask in list(self.waiting_requests()):
             if ask.entry == entry:
                 self.withdraw(ask.request_id)
         for run in self._cell.runs:
             if run.ask.entry == entry:
-                end = asks.RunEnd(run.ask.request_id, asks.Ending.CANCELLED)
+                end = dispatch_types.RunEnd(
+                    run.ask.request_id, dispatch_types.Ending.CANCELLED
+                )
                 self.ended(end, now)
 
     # Decisions.
@@ -224,17 +236,19 @@
         """Returns the predicted queueing delay of a new request in seconds."""
         return self._cell.predicted_delay(tier, now)
 
-    def step(self, now: float) -> list[asks.Decision]:
+    def step(self, now: float) -> list[dispatch_types.Decision]:
         """Grants free slots and starts preemptions.
 
         Must be called after every change and periodically.
         """
-        decisions: list[asks.Decision] = list(self._granting.grants(now))
+        decisions: list[dispatch_types.Decision] = list(
+            self._granting.grants(now)
+        )
         if self._settings.preempt:
             decisions += self._preemptions(now)
         return decisions
 
-    def review(self, now: float) -> list[asks.Decision]:
+    def review(self, now: float) -> list[dispatch_types.Decision]:
         """Applies time-dependent changes; must be called a few times a second.
 
         Returns:
@@ -246,7 +260,7 @@
         for overdue in placement.overdue_runs(listed, now):
             self._outliers.observe(overdue.endpoint, overdue.ratio, now)
         return [
-            self._sheds.shed(ask, asks.ShedReason.DELAY, 0.0)
+            self._sheds.shed(ask, dispatch_types.ShedReason.DELAY, 0.0)
             for ask in self._hopeless_requests(now)
             if self.withdraw(ask.request_id)
         ]
@@ -261,11 +275,13 @@
             ),
         )
 
-    def _hopeless_requests(self, now: float) -> list[asks.Ask]:
+    def _hopeless_requests(
+        self, now: float
+    ) -> list[dispatch_types.SlotRequest]:
         found = [
             ask
-            for ask in self.waiting_asks()
-            if not ask.firm and now - ask.arrived > ask.patience
+            for ask in self.waiting_requests()
+            if not ask.exempt_from_shedding and now - ask.arrived > ask.patience
         ]
         for tier in tiers.TIERS:
             rate = self._cell.pace.rate(tier, now)
@@ -276,7 +292,7 @@
                 )
         return found
 
-    def _preemptions(self, now: float) -> list[asks.Preempt]:
+    def _preemptions(self, now: float) -> list[dispatch_types.Preempt]:
         found = preemption.find_victim(self._cell, now)
         if found is None:
             return []
@@ -284,22 +300,28 @@
         self._cell.runs.start_preemption(victim)
         self._cell.counts.preempted += 1
         ask = victim.ask
-        return [asks.Preempt(ask.request_id, ask.entry, victim.endpoint, tier)]
+        return [
+            dispatch_types.Preempt(
+                ask.request_id, ask.entry, victim.endpoint, tier
+            )
+        ]
 
-    def _enforce_max_waiting(self, now: float) -> list[asks.Decision]:
+    def _enforce_max_waiting(self, now: float) -> list[dispatch_types.Decision]:
         """Sheds the newest request of the lowest tier while too many wait.
 
         The oldest waiting request of each tier is kept and not counted, so a
         full cell still holds one of every tier. The limit for a higher tier
         is therefore the same whether or not lower tiers wait.
         """
-        decisions: list[asks.Decision] = []
+        decisions: list[dispatch_types.Decision] = []
         while self._cell.waiting.counted > self._settings.max_waiting:
             newest = self._cell.waiting.take_newest_of_lowest()
             if newest is None:
                 break
             delay = self.predicted_delay(newest.tier, now)
             decisions.append(
-                self._sheds.shed(newest, asks.ShedReason.QUEUE_FULL, delay)
+                self._sheds.shed(
+                    newest, dispatch_types.ShedReason.QUEUE_FULL, delay
+                )
             )
         return decisions
--- a/martenjunction/decisions/cells/granted_runs.py
+++ b/martenjunction/decisions/cells/granted_runs.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import tiers
 
 
@@ -16,8 +16,8 @@
             max_preemptions: Maximum preemptions of one request.
         """
         self._max_preemptions = max_preemptions
-        self._runs: dict[str, asks.Run] = {}
-        self._victims: dict[int, dict[str, asks.Run]] = {
+        self._runs: dict[str, dispatch_types.Run] = {}
+        self._victims: dict[int, dict[str, dispatch_types.Run]] = {
             tier: {} for tier in tiers.TIERS
         }
         self._giving_way = 0
@@ -33,14 +33,14 @@
     def __contains__(self, request_id: object) -> bool:
         return request_id in self._runs
 
-    def __iter__(self) -> Iterator[asks.Run]:
+    def __iter__(self) -> Iterator[dispatch_types.Run]:
         return iter(list(self._runs.values()))
 
-    def find(self, request_id: str) -> asks.Run | None:
+    def find(self, request_id: str) -> dispatch_types.Run | None:
         """Returns the run of a request, or None if it has no slot."""
         return self._runs.get(request_id)
 
-    def add(self, run: asks.Run) -> None:
+    def add(self, run: dispatch_types.Run) -> None:
         """Adds a run that occupies a slot."""
         ask = run.ask
         self._runs[ask.request_id] = run
@@ -48,14 +48,14 @@
         if ask.preemptible and may_move and not run.guaranteed:
             self._victims[ask.tier][ask.request_id] = run
 
-    def remove(self, run: asks.Run) -> None:
+    def remove(self, run: dispatch_types.Run) -> None:
         """Removes a run that ended."""
         ask = run.ask
         del self._runs[ask.request_id]
         self._victims[ask.tier].pop(ask.request_id, None)
         self._giving_way -= run.cancelling
 
-    def victim(self, tier: int) -> asks.Run | None:
+    def victim(self, tier: int) -> dispatch_types.Run | None:
         """Returns the newest preemptible run of the lowest tier below `tier`.
 
         The newest run loses the least work.
@@ -65,7 +65,7 @@
                 return next(reversed(self._victims[lower].values()))
         return None
 
-    def start_preemption(self, run: asks.Run) -> None:
+    def start_preemption(self, run: dispatch_types.Run) -> None:
         """Marks a run as being preempted."""
         run.cancelling = True
         self._giving_way += 1
--- a/martenjunction/decisions/cells/granting.py
+++ b/martenjunction/decisions/cells/granting.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator
 import dataclasses
 
-from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import cell_state
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import placement
 from martenjunction.decisions.cells import reserve
 
@@ -27,9 +27,9 @@
         """Records the arrival of a request of a tier."""
         self._reserve.record_arrival(tier, now)
 
-    def grants(self, now: float) -> Iterator[asks.Grant]:
+    def grants(self, now: float) -> Iterator[dispatch_types.Grant]:
         """Yields grants until no waiting request can be granted."""
-        deferred: list[asks.Ask] = []
+        deferred: list[dispatch_types.SlotRequest] = []
         places = self._cell.endpoints.places
         while True:
             free = places.open()
@@ -46,11 +46,11 @@
 
     def grant(
         self,
-        ask: asks.Ask,
+        ask: dispatch_types.SlotRequest,
         endpoint: placement.Endpoint,
         predicted: float,
         now: float,
-    ) -> asks.Grant:
+    ) -> dispatch_types.Grant:
         """Grants a request a slot.
 
         Args:
@@ -59,7 +59,7 @@
             predicted: Predicted seconds to the first token.
             now: The current time.
         """
-        run = asks.Run(
+        run = dispatch_types.Run(
             ask,
             endpoint.name,
             now,
@@ -71,11 +71,13 @@
         self._cell.add_run(run, now)
         self._cell.pace.granted(ask.tier, now)
         self._cell.counts.granted += 1
-        return asks.Grant(ask.request_id, ask.entry, endpoint.name, predicted)
+        return dispatch_types.Grant(
+            ask.request_id, ask.entry, endpoint.name, predicted
+        )
 
     def _next_ask(
         self, free: list[placement.Endpoint], now: float
-    ) -> asks.Ask | None:
+    ) -> dispatch_types.SlotRequest | None:
         if not free:
             return None
         waiting = self._cell.waiting
@@ -91,7 +93,10 @@
         return waiting.take(tier, present, now, self._cell.pace.lead)
 
     def _choose(
-        self, ask: asks.Ask, free: list[placement.Endpoint], now: float
+        self,
+        ask: dispatch_types.SlotRequest,
+        free: list[placement.Endpoint],
+        now: float,
     ) -> tuple[placement.Endpoint, float] | None:
         use = self._cell.endpoints.places.use
         chosen = placement.choose(ask, free, use, now)
--- a/martenjunction/decisions/cells/outliers.py
+++ b/martenjunction/decisions/cells/outliers.py
@@ -30,7 +30,7 @@
             endpoint.health.move(event, now)
             self._endpoints.refresh(endpoint, now)
             return
-        self.judge(endpoint, now)
+        self.evaluate(endpoint, now)
 
     def fault(
         self, endpoint: placement.Endpoint, now: float, reached: bool
@@ -47,9 +47,9 @@
             endpoint.health.move(
                 endpoint_states.EndpointEvent.TRIAL_FAILED, now
             )
-        self.judge(endpoint, now)
+        self.evaluate(endpoint, now)
 
-    def judge(self, endpoint: placement.Endpoint, now: float) -> None:
+    def evaluate(self, endpoint: placement.Endpoint, now: float) -> None:
         """Ejects an endpoint if it is an outlier and enough others remain."""
         if not endpoint.health.may_be_outlier:
             return
--- a/martenjunction/decisions/cells/placement.py
+++ b/martenjunction/decisions/cells/placement.py
@@ -8,7 +8,7 @@
 from martenjunction.decisions import endpoint_states
 from martenjunction.decisions import estimates
 from martenjunction.decisions import grant_bucket
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 
 # Prompt tokens per block, the unit of prefix cache matching.
 BLOCK_TOKENS = 64
@@ -40,7 +40,7 @@
         self._limit_changed_at = 0.0
         self._bucket: grant_bucket.GrantBucket | None = None
         self.speed = estimates.Speed()
-        self.runs: dict[str, asks.Run] = {}
+        self.runs: dict[str, dispatch_types.Run] = {}
         self._ended: collections.deque[tuple[float, float]] = (
             collections.deque()
         )
@@ -63,7 +63,7 @@
 
     def rests(self, now: float) -> bool:
         """Returns whether the endpoint is in a back-off."""
-        return now < self.refusals.rest_until
+        return now < self.refusals.backoff_until
 
     @property
     def limit_per_s(self) -> float | None:
@@ -71,7 +71,7 @@
         return self._limit_per_s
 
     def set_rate_limit(
-        self, run: asks.Run, per_s: float | None, now: float
+        self, run: dispatch_types.Run, per_s: float | None, now: float
     ) -> None:
         """Applies the rate limit announced in a response.
 
@@ -82,12 +82,12 @@
             per_s: The limit in requests per second; None for no limit.
             now: The current time.
         """
-        per_s = grant_bucket.binding(per_s)
+        per_s = grant_bucket.effective_limit(per_s)
         if per_s == self._limit_per_s or run.granted < self._limit_changed_at:
             return
         if per_s is None:
             self._bucket = None
-            self.refusals.return_from(now)
+            self.refusals.begin_ramp_up(now)
         elif self._bucket is None:
             self._bucket = grant_bucket.GrantBucket(now)
         self._limit_per_s = per_s
@@ -95,9 +95,9 @@
 
     def free(self, now: float) -> int:
         """Returns the number of slots available to new runs."""
-        room = self.refusals.room(len(self.runs), now)
+        room = self.refusals.capacity(len(self.runs), now)
         if self._bucket is not None and self._limit_per_s is not None:
-            room = min(room, self._bucket.room(self._limit_per_s, now))
+            room = min(room, self._bucket.capacity(self._limit_per_s, now))
         state = self.health.state
         if state is endpoint_states.EndpointState.ROUTING:
             return int(min(max(0, self.slots - self.busy), room))
@@ -106,13 +106,13 @@
             return int(trial and room > 0)
         return 0
 
-    def start(self, run: asks.Run) -> None:
+    def start(self, run: dispatch_types.Run) -> None:
         """Records a run that occupies a slot."""
         self.runs[run.ask.request_id] = run
         self._last_granted = run.granted
         if self._bucket is not None and self._limit_per_s is not None:
             self._bucket.take(self._limit_per_s, 1.0, run.granted)
-        self.remember(run.ask.prefix)
+        self.record_cached(run.ask.prefix)
 
     def finish(self, request_id: str, now: float) -> None:
         """Releases a run's slot."""
@@ -120,7 +120,7 @@
         if run is not None:
             self._ended.append((run.granted, now))
 
-    def report(self, report: asks.LoadReport, now: float) -> None:
+    def report(self, report: dispatch_types.LoadReport, now: float) -> None:
         """Applies a delayed load report.
 
         The runs of this dispatcher at the time of measurement are subtracted;
@@ -140,7 +140,7 @@
         if now - self._reported_at > REPORT_LIFETIME:
             self._external_load = 0
 
-    def remember(self, prefix: Iterable[int]) -> None:
+    def record_cached(self, prefix: Iterable[int]) -> None:
         """Records blocks that the endpoint's cache probably holds."""
         for block in prefix:
             self._blocks[block] = None
@@ -153,7 +153,7 @@
         for block in blocks:
             self._blocks.pop(block, None)
 
-    def uncached(self, ask: asks.Ask) -> float:
+    def uncached(self, ask: dispatch_types.SlotRequest) -> float:
         """Returns the expected number of prompt tokens not in its cache."""
         cached = 0
         for block in ask.prefix:
@@ -162,13 +162,16 @@
             cached += BLOCK_TOKENS
         return float(max(1, ask.prompt_tokens - cached))
 
-    def predicted_first_token(self, ask: asks.Ask) -> float:
+    def predicted_first_token(self, ask: dispatch_types.SlotRequest) -> float:
         """Returns the predicted seconds from grant to first token."""
         return self.speed.first_token(self.uncached(ask), self.busy)
 
 
 def choose(
-    ask: asks.Ask, free: list[Endpoint], use: float, now: float
+    ask: dispatch_types.SlotRequest,
+    free: list[Endpoint],
+    use: float,
+    now: float,
 ) -> tuple[Endpoint, float] | None:
     """Chooses an endpoint for a request.
 
@@ -192,7 +195,7 @@
     # An endpoint that refuses at once has a free slot at once, so paused ones
     # are used only if there is no other.
     candidates = [
-        e for e in candidates if not e.refusals.pauses(now)
+        e for e in candidates if not e.refusals.is_deprioritized(now)
     ] or candidates
     slowest = max(e.speed.interval_s.value for e in candidates)
     slack = max(0.0, ask.deadline - now)
--- a/martenjunction/decisions/cells/preemption.py
+++ b/martenjunction/decisions/cells/preemption.py
@@ -1,7 +1,7 @@
 """Selection of runs to preempt."""
 
-from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import cell_state
+from martenjunction.decisions.cells import dispatch_types
 
 # A waiting request is urgent when its slack is below this many seconds, or
 # below this multiple of the expected wait for a slot.
@@ -11,7 +11,7 @@
 
 def find_victim(
     cell: cell_state.CellState, now: float
-) -> tuple[asks.Run, int] | None:
+) -> tuple[dispatch_types.Run, int] | None:
     """Returns the run to preempt.
 
     Returns:
--- a/martenjunction/decisions/cells/queues.py
+++ b/martenjunction/decisions/cells/queues.py
@@ -4,7 +4,7 @@
 import heapq
 import itertools
 
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 
 # One in this many grants of a workspace goes to its oldest late request, so
 # that requests that can no longer meet their target still complete.
@@ -19,8 +19,8 @@
     """The waiting requests of one workspace in one tier."""
 
     def __init__(self) -> None:
-        self._timely: list[tuple[float, int, asks.Ask]] = []
-        self._late: list[tuple[float, int, asks.Ask]] = []
+        self._timely: list[tuple[float, int, dispatch_types.SlotRequest]] = []
+        self._late: list[tuple[float, int, dispatch_types.SlotRequest]] = []
         self._sequence = itertools.count()
         self._grants_since_late = 0
         self.virtual_time = 0.0
@@ -28,11 +28,11 @@
     def __len__(self) -> int:
         return len(self._timely) + len(self._late)
 
-    def push(self, ask: asks.Ask) -> None:
+    def push(self, ask: dispatch_types.SlotRequest) -> None:
         """Adds a request, ordered by its deadline."""
         heapq.heappush(self._timely, (ask.deadline, next(self._sequence), ask))
 
-    def pop(self, now: float, lead: float) -> asks.Ask:
+    def pop(self, now: float, lead: float) -> dispatch_types.SlotRequest:
         """Removes and returns the next request.
 
         Args:
@@ -53,7 +53,7 @@
 
     def unreachable_in_time(
         self, now: float, lead: float, rate: float
-    ) -> list[asks.Ask]:
+    ) -> list[dispatch_types.SlotRequest]:
         """Returns late requests that cannot be granted within their patience.
 
         The requests ahead of them take longer than their remaining patience,
@@ -69,7 +69,7 @@
         found = []
         for position, (_, _, ask) in enumerate(sorted(self._late), ahead):
             left = ask.patience - (now - ask.arrived)
-            if position > left * rate and not ask.firm:
+            if position > left * rate and not ask.exempt_from_shedding:
                 found.append(ask)
         return found
 
@@ -92,8 +92,10 @@
         self._workspaces: dict[str, WorkspaceQueue] = {}
         self._order: list[tuple[float, str]] = []
         self._virtual_time = 0.0
-        self._present: dict[str, asks.Ask] = {}
-        self._deadlines: list[tuple[float, int, asks.Ask]] = []
+        self._present: dict[str, dispatch_types.SlotRequest] = {}
+        self._deadlines: list[
+            tuple[float, int, dispatch_types.SlotRequest]
+        ] = []
         self._sequence = itertools.count()
         self._stale = 0
 
@@ -103,7 +105,7 @@
     def __contains__(self, request_id: object) -> bool:
         return request_id in self._present
 
-    def push(self, ask: asks.Ask) -> None:
+    def push(self, ask: dispatch_types.SlotRequest) -> None:
         """Adds a request; duplicates are ignored."""
         if ask.request_id in self._present:
             return
@@ -120,7 +122,7 @@
             self._deadlines, (ask.deadline, next(self._sequence), ask)
         )
 
-    def remove(self, request_id: str) -> asks.Ask | None:
+    def remove(self, request_id: str) -> dispatch_types.SlotRequest | None:
         """Removes a request; returns it, or None if it was not waiting."""
         ask = self._present.pop(request_id, None)
         if ask is not None:
@@ -128,7 +130,7 @@
             self._compact()
         return ask
 
-    def pop(self, now: float, lead: float) -> asks.Ask | None:
+    def pop(self, now: float, lead: float) -> dispatch_types.SlotRequest | None:
         """Removes and returns the next request, or returns None.
 
         Args:
@@ -158,13 +160,13 @@
             heapq.heappop(self._deadlines)
         return None
 
-    def newest(self) -> asks.Ask | None:
+    def newest(self) -> dispatch_types.SlotRequest | None:
         """Returns the most recently added request, or None."""
         return next(reversed(self._present.values()), None)
 
     def unreachable_in_time(
         self, now: float, lead: float, rate: float
-    ) -> list[asks.Ask]:
+    ) -> list[dispatch_types.SlotRequest]:
         """Returns late requests that cannot be granted within their patience.
 
         Args:
@@ -180,12 +182,12 @@
         ]
         return [a for a in found if self._present.get(a.request_id) is a]
 
-    def __iter__(self) -> Iterator[asks.Ask]:
+    def __iter__(self) -> Iterator[dispatch_types.SlotRequest]:
         return iter(list(self._present.values()))
 
     def _pop_present(
         self, queue: WorkspaceQueue, now: float, lead: float
-    ) -> asks.Ask | None:
+    ) -> dispatch_types.SlotRequest | None:
         while len(queue):
             ask = queue.pop(now, lead)
             if self._present.get(ask.request_id) is ask:
--- a/martenjunction/decisions/cells/sheds.py
+++ b/martenjunction/decisions/cells/sheds.py
@@ -2,8 +2,8 @@
 
 import random
 
-from martenjunction.decisions.cells import asks
 from martenjunction.decisions.cells import dispatch_counts
+from martenjunction.decisions.cells import dispatch_types
 
 # Bounds of the retry time of a shed request in seconds, before jitter.
 MIN_RETRY_AFTER = 1.0
@@ -26,8 +26,11 @@
         self._rng = rng
 
     def shed(
-        self, ask: asks.Ask, reason: asks.ShedReason, excess: float
-    ) -> asks.Shed:
+        self,
+        ask: dispatch_types.SlotRequest,
+        reason: dispatch_types.ShedReason,
+        excess: float,
+    ) -> dispatch_types.Shed:
         """Sheds a request.
 
         Args:
@@ -40,6 +43,6 @@
         by_tier[ask.tier] = by_tier.get(ask.tier, 0) + 1
         delay = min(max(MIN_RETRY_AFTER, excess), MAX_RETRY_AFTER)
         retry_after = delay * (1.0 + self._rng.random())
-        return asks.Shed(
+        return dispatch_types.Shed(
             ask.request_id, ask.entry, reason, round(retry_after, 2)
         )
--- a/martenjunction/decisions/cells/waiting_requests.py
+++ b/martenjunction/decisions/cells/waiting_requests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import queues
 from martenjunction.decisions.cells import tiers
 
@@ -27,7 +27,7 @@
     def __len__(self) -> int:
         return sum(len(queue) for queue in self._queues.values())
 
-    def __iter__(self) -> Iterator[asks.Ask]:
+    def __iter__(self) -> Iterator[dispatch_types.SlotRequest]:
         for queue in self._queues.values():
             yield from queue
 
@@ -39,7 +39,7 @@
         """Returns the number of waiting requests of a tier and higher ones."""
         return sum(len(queue) for t, queue in self._queues.items() if t <= tier)
 
-    def push(self, ask: asks.Ask, now: float) -> None:
+    def push(self, ask: dispatch_types.SlotRequest, now: float) -> None:
         """Adds a request to the queue of its tier."""
         self._queues[ask.tier].push(ask)
         self._shares.waiting(ask.tier, now)
@@ -51,7 +51,7 @@
             for queue in self._queues.values()
         )
 
-    def take_newest_of_lowest(self) -> asks.Ask | None:
+    def take_newest_of_lowest(self) -> dispatch_types.SlotRequest | None:
         """Removes and returns the newest request of the lowest tier, or None.
 
         The oldest waiting request of each tier is kept, so that a full cell
@@ -87,7 +87,7 @@
 
     def take(
         self, tier: int, present: list[int], now: float, lead: float
-    ) -> asks.Ask | None:
+    ) -> dispatch_types.SlotRequest | None:
         """Removes the next request of a tier and updates the shares.
 
         Args:
--- a/martenjunction/decisions/classing.py
+++ b/martenjunction/decisions/classification.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Classed:
+class Classification:
     """The service class of a request and how it was chosen.
 
     Attributes:
@@ -55,7 +55,7 @@
 
     def classify(
         self, workspace: fleet.Workspace, facts: policies.RequestFacts
-    ) -> Classed:
+    ) -> Classification:
         """Returns the service class of a request.
 
         Args:
@@ -84,7 +84,7 @@
             zones = zones or program.place(facts)
         if zones:
             reasons.append(f"policies prefer {', '.join(zones)}")
-        return Classed(service_class, zones, tuple(reasons))
+        return Classification(service_class, zones, tuple(reasons))
 
     def _bound_class(
         self, workspace: fleet.Workspace, kind: str
--- a/martenjunction/decisions/endpoint_refusals.py
+++ b/martenjunction/decisions/endpoint_refusals.py
@@ -4,24 +4,24 @@
 
 # Upper bound on a requested back-off, in seconds. Without it, an endpoint that
 # mistakenly requests a very long back-off would be unused until it restarts.
-MAX_REST_S = 600.0
+MAX_BACKOFF_S = 600.0
 
 # Jitter added to a back-off, as a fraction of it and in seconds at most. It
 # spreads the boxes' first requests after the back-off.
-SPREAD_PART = 0.1
-MOST_SPREAD_S = 1.0
+JITTER_FRACTION = 0.1
+MAX_JITTER_S = 1.0
 
 # Length of a ramp-up step after a back-off, in seconds. A box allows one
 # request in flight in the first step and doubles that in each later step, until
 # the endpoint answers one.
-RETURN_STEP_S = 0.2
+RAMP_UP_STEP_S = 0.2
 MAX_RAMP_UP_STEPS = 16
 
 # Bounds of the exponential pause after a refusal without a back-off time, in
 # seconds. An endpoint that refuses at once has the fewest requests in flight,
 # so without the pause all boxes would prefer it.
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.6
+INITIAL_PAUSE_S = 0.1
+MAX_PAUSE_S = 1.6
 
 
 class Refusals:
@@ -38,11 +38,11 @@
         self._pause_s = 0.0
 
     @property
-    def rest_until(self) -> float:
+    def backoff_until(self) -> float:
         """Monotonic end of the back-off; 0 if there was none."""
         return self._backoff_until
 
-    def ask_rest(self, seconds: float, drawn: float, now: float) -> float:
+    def start_backoff(self, seconds: float, drawn: float, now: float) -> float:
         """Starts the back-off that the endpoint requested.
 
         A back-off already in force that ends later is kept.
@@ -55,8 +55,8 @@
         Returns:
             Seconds by which the back-off was extended; 0 if it was not.
         """
-        backoff_s = min(seconds, MAX_REST_S)
-        jitter_s = min(backoff_s * SPREAD_PART, MOST_SPREAD_S)
+        backoff_s = min(seconds, MAX_BACKOFF_S)
+        jitter_s = min(backoff_s * JITTER_FRACTION, MAX_JITTER_S)
         until = now + backoff_s + jitter_s * drawn
         extended_by_s = until - max(now, self._backoff_until)
         if extended_by_s <= 0:
@@ -65,7 +65,7 @@
         self._ramping_up = True
         return extended_by_s
 
-    def return_from(self, now: float) -> None:
+    def begin_ramp_up(self, now: float) -> None:
         """Starts the ramp-up of an endpoint that had little work.
 
         It appears idle to all boxes, so as after a back-off it gets one
@@ -78,17 +78,17 @@
             self._backoff_until = now
             self._ramping_up = True
 
-    def refuse(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Records a refusal and starts or lengthens the pause."""
         if now < self._pause_until:
             # This request was sent before the pause began.
             return
         self._pause_s = min(
-            max(FIRST_PAUSE_S, 2 * self._pause_s), LONGEST_PAUSE_S
+            max(INITIAL_PAUSE_S, 2 * self._pause_s), MAX_PAUSE_S
         )
         self._pause_until = now + self._pause_s
 
-    def answer(self, sent_at: float) -> None:
+    def record_answer(self, sent_at: float) -> None:
         """Records an answer, which ends the pause and the ramp-up.
 
         An answer to a request sent before the back-off does not end the
@@ -108,9 +108,9 @@
             running: Requests of this box in flight there.
             now: The current time.
         """
-        return self.room(running, now) > 0
+        return self.capacity(running, now) > 0
 
-    def room(self, running: int, now: float) -> float:
+    def capacity(self, running: int, now: float) -> float:
         """Returns how many more requests may be sent; infinite for no limit.
 
         Args:
@@ -121,10 +121,10 @@
             return 0.0
         if not self._ramping_up:
             return math.inf
-        steps = int((now - self._backoff_until) / RETURN_STEP_S)
+        steps = int((now - self._backoff_until) / RAMP_UP_STEP_S)
         return max(0.0, 2.0 ** min(steps, MAX_RAMP_UP_STEPS) - running)
 
-    def pauses(self, now: float) -> bool:
+    def is_deprioritized(self, now: float) -> bool:
         """Returns whether other endpoints are currently preferred."""
         return now < self._pause_until
 
@@ -139,4 +139,4 @@
             return 0.0
         if now < self._backoff_until:
             return self._backoff_until - now
-        return RETURN_STEP_S - (now - self._backoff_until) % RETURN_STEP_S
+        return RAMP_UP_STEP_S - (now - self._backoff_until) % RAMP_UP_STEP_S
--- a/martenjunction/decisions/grant_bucket.py
+++ b/martenjunction/decisions/grant_bucket.py
@@ -12,8 +12,8 @@
 # seconds, while another box may still act as the holder. Two holders together
 # stay within one and a half times the limit.
 GRANTED_FRACTION = 0.9
-FIRST_PART = 0.6
-FIRST_S = 4.0
+WARM_UP_FRACTION = 0.6
+WARM_UP_S = 4.0
 
 # Minimum rate in requests per second, whatever the limit. An endpoint with a
 # limit of 0 is sent no requests otherwise, and its answers would never announce
@@ -29,10 +29,10 @@
 EPSILON = 1e-6
 
 # Maximum retry delay, in seconds, returned to a refused box.
-LONGEST_TURN_S = 2.0
+MAX_RETRY_DELAY_S = 2.0
 
 
-def binding(limit_per_s: float | None) -> float | None:
+def effective_limit(limit_per_s: float | None) -> float | None:
     """Returns the limit if it has to be enforced, else None."""
     if limit_per_s is None or limit_per_s >= MAX_LIMIT_PER_S:
         return None
@@ -56,12 +56,14 @@
         self._refilled_at = now
         self._last_retry_at = now
 
-    def take(self, limit_per_s: float, heard_part: float, now: float) -> float:
+    def take(
+        self, limit_per_s: float, reachable_fraction: float, now: float
+    ) -> float:
         """Grants a request if a token is available.
 
         Args:
             limit_per_s: The endpoint's limit.
-            heard_part: Fraction of the boxes that the holder can reach,
+            reachable_fraction: Fraction of the boxes that the holder can reach,
                 including itself. Boxes across a network partition have a
                 holder of their own.
             now: The current time.
@@ -71,16 +73,18 @@
             get successive retry times, so that they do not all retry at once
             for the same token.
         """
-        per_s = self._refill(limit_per_s, heard_part, now)
+        per_s = self._refill(limit_per_s, reachable_fraction, now)
         if self._tokens >= 1.0 - EPSILON:
             self._tokens -= 1.0
             return 0.0
         refill_s = (1.0 - self._tokens) / per_s
         retry_at = max(now + refill_s, self._last_retry_at + 1.0 / per_s)
-        self._last_retry_at = min(retry_at, now + max(refill_s, LONGEST_TURN_S))
+        self._last_retry_at = min(
+            retry_at, now + max(refill_s, MAX_RETRY_DELAY_S)
+        )
         return self._last_retry_at - now
 
-    def room(self, limit_per_s: float, now: float) -> int:
+    def capacity(self, limit_per_s: float, now: float) -> int:
         """Returns the number of available tokens if all boxes are reachable.
 
         Args:
@@ -91,13 +95,15 @@
         return int(self._tokens + EPSILON)
 
     def _refill(
-        self, limit_per_s: float, heard_part: float, now: float
+        self, limit_per_s: float, reachable_fraction: float, now: float
     ) -> float:
         """Refills the bucket; returns the rate in requests per second."""
         fraction = (
-            FIRST_PART if now - self._started_at < FIRST_S else GRANTED_FRACTION
+            WARM_UP_FRACTION
+            if now - self._started_at < WARM_UP_S
+            else GRANTED_FRACTION
         )
-        per_s = max(MIN_RATE_PER_S, limit_per_s * fraction * heard_part)
+        per_s = max(MIN_RATE_PER_S, limit_per_s * fraction * reachable_fraction)
         max_tokens = (
             MAX_TOKENS if per_s > MIN_RATE_PER_S else MAX_TOKENS_AT_MIN_RATE
         )
@@ -106,6 +112,6 @@
         self._refilled_at = max(now, self._refilled_at)
         return per_s
 
-    def put_back(self) -> None:
+    def refund(self) -> None:
         """Returns the token of an unused grant."""
         self._tokens += 1.0
--- a/martenjunction/decisions/outcomes.py
+++ b/martenjunction/decisions/outcomes.py
@@ -93,7 +93,7 @@
             return Outcome.UNKNOWN
         return _OUTCOME[self._state]
 
-    def note(self, event: Event) -> None:
+    def record(self, event: Event) -> None:
         """Applies an event.
 
         Raises:
@@ -111,7 +111,7 @@
         if event in (Event.NOT_REACHED, Event.REFUSED):
             self._not_run += 1
 
-    def may_send_again(self, repeatable: bool) -> bool:
+    def may_retry(self, repeatable: bool) -> bool:
         """Returns whether another attempt is allowed.
 
         A request that is not repeatable is retried only if it did not run.
--- a/martenjunction/decisions/retries.py
+++ b/martenjunction/decisions/retries.py
@@ -34,7 +34,7 @@
         return True
 
 
-def pause_before(attempt: int, jitter: float) -> float:
+def backoff_s(attempt: int, jitter: float) -> float:
     """Returns the back-off in seconds before a retry.
 
     Args:
--- a/martenjunction/endpoints/engine_protocol.py
+++ b/martenjunction/endpoints/engine_protocol.py
@@ -102,7 +102,9 @@
         EndpointBrokenError: If the engine failed.
     """
     if head.status in REFUSED_STATUS:
-        raise errors.EndpointRefusedError(f"status {head.status}", head.rest_s)
+        raise errors.EndpointRefusedError(
+            f"status {head.status}", head.backoff_s
+        )
     if head.status == 404:
         raise errors.EndpointBrokenError("the engine does not know the run")
     if head.status >= 500:
--- a/martenjunction/endpoints/plain_protocol.py
+++ b/martenjunction/endpoints/plain_protocol.py
@@ -7,7 +7,7 @@
 
 # Header with which a plain service reports that it did not execute a request
 # that it answers with an error.
-RAN_HEADER = "X-Request-Ran"
+EXECUTED_HEADER = "X-Request-Ran"
 
 
 def start(
@@ -30,7 +30,7 @@
         request_id: Request id.
         once: Whether the client must not retry the request.
     """
-    passed = http_headers.to_endpoint(headers)
+    passed = http_headers.endpoint_headers(headers)
     passed.append((http_headers.REQUEST_ID, request_id))
     return client.EndpointRequest(
         method, f"http://{address}{path}", passed, body, once
@@ -47,7 +47,7 @@
     answered = head.get(http_headers.REQUEST_ID)
     if answered is not None and answered != request_id:
         raise errors.EndpointMismatchError(f"response is to {answered!r}")
-    if head.status == 503 and head.get(RAN_HEADER) == "no":
+    if head.status == 503 and head.get(EXECUTED_HEADER) == "no":
         raise errors.EndpointRefusedError(
-            "status 503, not executed", head.rest_s
+            "status 503, not executed", head.backoff_s
         )
--- a/martenjunction/endpoints/pool.py
+++ b/martenjunction/endpoints/pool.py
@@ -14,7 +14,7 @@
 CONNECT_TIMEOUT_S = 0.4
 
 # Fraction of an endpoint's connection limit that all boxes together use.
-LIMIT_PART = 0.85
+CONNECTION_LIMIT_FRACTION = 0.85
 
 # Seconds by which an idle connection is closed before the endpoint's idle
 # timeout.
@@ -55,7 +55,7 @@
         self._on_head: OnHead = lambda endpoint, head: None
 
     @property
-    def opened(self) -> int:
+    def total_opened(self) -> int:
         """Number of connections opened since the start."""
         return self._opened
 
@@ -122,7 +122,7 @@
         connection.abort()
         entry.open -= 1
 
-    def keep_only(self, endpoint_ids: set[str]) -> None:
+    def prune(self, endpoint_ids: set[str]) -> None:
         """Closes idle connections to all other endpoints."""
         for endpoint_id in list(self._endpoints):
             if endpoint_id in endpoint_ids:
--- a/martenjunction/endpoints/streams.py
+++ b/martenjunction/endpoints/streams.py
@@ -10,7 +10,7 @@
 from martenjunction import http_headers
 
 # Bytes that are buffered for a slow caller before the transfer is paused.
-MAX_BUFFERED = 64 * 1024
+MAX_BUFFERED_BYTES = 64 * 1024
 
 # Maximum size of the response headers, in bytes.
 MAX_HEADER_BYTES = 64 * 1024
@@ -32,16 +32,18 @@
         return None
 
     @property
-    def rest_s(self) -> float:
+    def backoff_s(self) -> float:
         """Back-off in seconds that the endpoint requests, or 0."""
         value = self.get(http_headers.RETRY_AFTER)
-        return 0.0 if value is None else http_headers.decimal_of(value) or 0.0
+        return (
+            0.0 if value is None else http_headers.parse_decimal(value) or 0.0
+        )
 
     @property
     def limit_per_s(self) -> float | None:
         """Rate limit of the endpoint in requests per second, or None."""
         named = self.get(http_headers.LIMIT)
-        return None if named is None else http_headers.decimal_of(named)
+        return None if named is None else http_headers.parse_decimal(named)
 
 
 class EndpointStream:
@@ -87,7 +89,7 @@
         """Buffers a part of the body, or pauses the transfer."""
         if self.aborted:
             return 0
-        if self._size >= MAX_BUFFERED:
+        if self._size >= MAX_BUFFERED_BYTES:
             self._paused = True
             return int(pycurl.WRITEFUNC_PAUSE)
         self._chunks.append(chunk)
--- a/martenjunction/errors.py
+++ b/martenjunction/errors.py
@@ -78,11 +78,11 @@
     """The endpoint reported that it refused the request before running it.
 
     Attributes:
-        rest_s: Requested back-off in seconds; 0 if not given.
+        backoff_s: Requested back-off in seconds; 0 if not given.
     """
 
     def __init__(self, message: str, rest_s: float = 0.0) -> None:
-        self.rest_s = rest_s
+        self.backoff_s = rest_s
         super().__init__(message)
 
 
--- a/martenjunction/gateway.py
+++ b/martenjunction/gateway.py
@@ -12,10 +12,10 @@
 from martenjunction import events
 from martenjunction import metrics
 from martenjunction import timers
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_list
-from martenjunction.decisions.boxes import key_freshness
-from martenjunction.decisions.boxes import repeat_budget
-from martenjunction.decisions.boxes import shedding
+from martenjunction.decisions.boxes import load_shedding
+from martenjunction.decisions.boxes import retry_budget
 from martenjunction.decisions.boxes import tier_precedence
 from martenjunction.endpoints import pool
 from martenjunction.http1 import messages
@@ -31,20 +31,20 @@
 from martenjunction.routing import box_dump
 from martenjunction.routing import closing_log
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
-from martenjunction.routing import endpoint_ends
+from martenjunction.routing import endpoint_liveness
 from martenjunction.routing import endpoint_notices
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import exchange
 from martenjunction.routing import follower
 from martenjunction.routing import leaving_sync
 from martenjunction.routing import limit_sync
 from martenjunction.routing import offers
 from martenjunction.routing import peer_sync
-from martenjunction.routing import picture
 from martenjunction.routing import prober
 from martenjunction.routing import rate_grants
 from martenjunction.routing import request_content
-from martenjunction.routing import suspects
+from martenjunction.routing import request_quarantine
+from martenjunction.routing import store_cache
 
 # Seconds between checks for silent endpoints, expired entries and requests
 # that should move to another endpoint.
@@ -121,23 +121,25 @@
         self.members = membership.Membership(
             own, self.timers, self._on_members_changed
         )
-        self.freshness = key_freshness.ConfigFreshness(
+        self.freshness = config_freshness.ConfigFreshness(
             settings.key_lifetime_s, KEY_MARGIN_S, settings.change_s
         )
         self.admitter = admission.Admitter(
             self.freshness, settings.keys_fail_closed, self._rng
         )
-        self.listed = endpoint_list.EndpointList()
-        self.book = endpoint_book.EndpointBook(self.listed, self.log, self._rng)
-        self.picture = picture.Picture(
+        self.endpoint_list = endpoint_list.EndpointList()
+        self.registry = endpoint_registry.EndpointRegistry(
+            self.endpoint_list, self.log, self._rng
+        )
+        self.store_cache = store_cache.StoreCache(
             self.admitter,
-            self.listed,
+            self.endpoint_list,
             self.freshness,
             self.log,
             self.timers.now,
         )
         self.pool = pool.EndpointPool(self._connection_share)
-        self.budget = repeat_budget.RepeatBudget(
+        self.budget = retry_budget.RetryBudget(
             settings.retry_ratio,
             settings.retry_allowance,
             settings.retry_window_s,
@@ -146,7 +148,7 @@
         self.store = store.StoreClient(settings.store)
         self.follower = follower.StoreFollower(
             self.store,
-            self.picture,
+            self.store_cache,
             self.members,
             documents.BoxEntry(
                 settings.box,
@@ -167,14 +169,14 @@
             self._status,
             settings.peers,
             settings.seeds,
-            silence_limit=peer_sync.LINK_SILENCE_S,
+            silence_timeout_s=peer_sync.LINK_SILENCE_TIMEOUT_S,
         )
         self.sync = peer_sync.PeerSync(
             self.peers,
             self.members,
-            self.picture,
+            self.store_cache,
             self.freshness,
-            self.book,
+            self.registry,
             self.timers,
             self.log,
             self._is_ready,
@@ -182,55 +184,57 @@
             settings.link_bytes_s,
         )
         self.leaving_endpoints = leaving_sync.LeavingSync(
-            self.listed, self.peers, self.members, self.log
+            self.endpoint_list, self.peers, self.members, self.log
         )
         self.limits = limit_sync.LimitSync(
-            self.book, self.peers, self.members, self.timers, self.log
+            self.registry, self.peers, self.members, self.timers, self.log
         )
         self.grants = rate_grants.RateGrants(
-            self.book,
+            self.registry,
             self.limits,
             self.peers,
             self.members,
-            self.sync.heard,
+            self.sync.responsive_peers,
             self.timers,
         )
         self.notices = endpoint_notices.EndpointNotices(
             self.leaving_endpoints,
             self.limits,
-            self.book,
+            self.registry,
             self.timers.now,
             self.log,
         )
         self.pool.on_head(self.notices.take)
-        self.ends = endpoint_ends.EndpointEnds(self.book, self.pool)
-        self.suspects = suspects.Suspects(
-            self.listed,
-            self.ends,
+        self.liveness = endpoint_liveness.EndpointLiveness(
+            self.registry, self.pool
+        )
+        self.quarantine = request_quarantine.RequestQuarantine(
+            self.endpoint_list,
+            self.liveness,
             self.peers,
             self.members,
             self.timers,
             self.events,
             self.log,
-            self.sync.heard,
+            self.sync.responsive_peers,
         )
         self.prober = prober.Prober(
-            self.book, self.pool, self.admitter, self.grants, self.timers
+            self.registry, self.pool, self.admitter, self.grants, self.timers
         )
-        self._tools = offers.Tools(
+        self._context = offers.ExchangeContext(
             self.admitter,
-            self.book,
+            self.registry,
             self.pool,
             self.budget,
-            shedding.DeadlineBook(),
+            load_shedding.DeadlineTracker(),
             self.log,
             self.metrics,
             settings.zone,
-            self._left_for_s,
+            self._stopping_for_s,
             settings.stop_s - STOP_MARGIN_S,
             request_content.ContentKeys(_peer_key(settings)),
-            self.suspects,
-            self.ends,
+            self.quarantine,
+            self.liveness,
             self.grants,
             tier_precedence.TierPrecedence(),
         )
@@ -255,7 +259,7 @@
         self._entry.listen_on(self._settings.entry)
         self._callers.listen_on(self._settings.callers)
         self.sync.start()
-        self.suspects.start()
+        self.quarantine.start()
         self.leaving_endpoints.start(self.events)
         self.limits.start(self.events)
         self.grants.start()
@@ -287,7 +291,9 @@
         started_at = self.timers.now()
         self._leaving_since = started_at
         self.log.write("stop-begins", held=len(self._exchanges))
-        self.members.leaving(self._settings.box, self.members.own.incarnation)
+        self.members.mark_leaving(
+            self._settings.box, self.members.own.incarnation
+        )
         self.sync.announce_leaving()
         self.sync.announce()
         deadline = started_at + self._settings.stop_s - STOP_MARGIN_S
@@ -326,7 +332,7 @@
             wait.cancel()
             listening.close_all()
         await self.prober.stop()
-        await self.ends.stop()
+        await self.liveness.stop()
         await self.follower.stop()
         await self.timers.stop()
         await self.peers.stop()
@@ -339,11 +345,11 @@
             "leaving": self.leaving,
             "ready": self._is_ready(),
             "held": len(self._exchanges),
-            **box_dump.parts(
-                self.picture,
+            **box_dump.component_states(
+                self.store_cache,
                 self.freshness,
                 self.store,
-                self.book,
+                self.registry,
                 self.pool,
                 self.peers,
                 self.members,
@@ -351,7 +357,7 @@
                 self.timers.now(),
             ),
             "limits": self.grants.dump(),
-            "suspects": self.suspects.dump(),
+            "suspects": self.quarantine.dump(),
         }
 
     def _server(
@@ -371,7 +377,7 @@
         connection: server_connection.ServerConnection,
         request: messages.Request,
     ) -> None:
-        running = exchange.Exchange(self._tools, connection, request)
+        running = exchange.Exchange(self._context, connection, request)
         self._exchanges.add(running)
         try:
             await running.run()
@@ -397,7 +403,7 @@
             text = json.dumps(self.dump(), indent=1).encode()
             await connection.answer(200, [], text)
         elif request.path == LIFT_PATH and request.method == b"POST":
-            known = self.suspects.lift(
+            known = self.quarantine.lift(
                 _query_fields(request).get(CONTENT_FIELD, "")
             )
             await connection.answer(200 if known else 404, [], b"")
@@ -412,7 +418,7 @@
         if request.path != headers.ENTRY_PATH:
             await connection.answer(404, [], b"")
             return
-        _, zone = documents.decode_entry_question(_query_fields(request))
+        _, zone = documents.decode_resolve_query(_query_fields(request))
         addresses = self._entries(zone)
         if not addresses:
             await connection.answer(503, [], b"")
@@ -421,7 +427,7 @@
         await connection.answer(
             200,
             [(b"Content-Type", b"application/json")],
-            documents.encode_entry_answer(addresses, ttl),
+            documents.encode_resolve_response(addresses, ttl),
         )
 
     def _entries(self, zone: str) -> list[str]:
@@ -431,7 +437,7 @@
             boxes.append(self.members.own)
         if not boxes:
             # No box is known to be ready; any live box is better than none.
-            boxes = self.members.believed()
+            boxes = self.members.live_members()
         same_zone = [member for member in boxes if member.zone == zone]
         if len(same_zone) >= MIN_READY_IN_ZONE:
             boxes = same_zone
@@ -450,20 +456,20 @@
             self.metrics,
             {
                 "held_requests": float(len(self._exchanges)),
-                "endpoint_runs": float(self.book.running),
-                "endpoint_connections_opened": float(self.pool.opened),
+                "endpoint_runs": float(self.registry.running),
+                "endpoint_connections_opened": float(self.pool.total_opened),
                 "store_calls": float(sum(calls.values())),
-                "config_version": float(self.picture.version),
+                "config_version": float(self.store_cache.version),
                 "repeats_refused": float(self.budget.refused),
-                "endpoints_leaving": float(len(self.listed.leaving)),
-                "endpoints_resting": float(self.book.resting(now)),
-                "endpoints_limited": float(len(self.book.limits.limited())),
-                "grants_given": float(self.grants.given),
+                "endpoints_leaving": float(len(self.endpoint_list.leaving)),
+                "endpoints_resting": float(self.registry.backoff_count(now)),
+                "endpoints_limited": float(len(self.registry.limits.limited())),
+                "grants_given": float(self.grants.granted),
                 "grants_refused": float(self.grants.refused),
-                "suspects": float(len(self.suspects.dump())),
-                "quarantined_refused": float(self.suspects.refused),
-                "store_returns": float(self.picture.store_returns),
-                "entries_unreadable": float(self.picture.unreadable),
+                "suspects": float(len(self.quarantine.dump())),
+                "quarantined_refused": float(self.quarantine.refused),
+                "store_returns": float(self.store_cache.store_returns),
+                "entries_unreadable": float(self.store_cache.unreadable),
                 "loop_delay_s": self.timers.worst_delay,
             },
         )
@@ -472,15 +478,15 @@
 
     def _is_ready(self) -> bool:
         config = self.admitter.config
-        if self.leaving or config is None or not self.listed.known:
+        if self.leaving or config is None or not self.endpoint_list.has_listing:
             return False
-        if self.freshness.lags(self.timers.now()):
+        if self.freshness.is_lagging(self.timers.now()):
             return False
         if not config.needs_keys or not self._settings.keys_fail_closed:
             return True
-        return self.freshness.covers(self.timers.now())
+        return self.freshness.allows_keys_at(self.timers.now())
 
-    def _left_for_s(self) -> float | None:
+    def _stopping_for_s(self) -> float | None:
         """Returns seconds since a graceful shutdown began, or None."""
         if self._leaving_since is None:
             return None
@@ -497,8 +503,8 @@
         config = self.admitter.config
         known = config.services.get(service) if config else None
         limit = known.max_connections if known is not None else 1
-        boxes = max(1, len(self.members.believed()))
-        return max(2, int(limit * pool.LIMIT_PART / boxes))
+        boxes = max(1, len(self.members.live_members()))
+        return max(2, int(limit * pool.CONNECTION_LIMIT_FRACTION / boxes))
 
     def _on_members_changed(self) -> None:
         self._max_member_count = max(
@@ -512,17 +518,17 @@
 
     def _watch(self) -> None:
         now = self.timers.now()
-        self.picture.expire()
-        self.book.tick(now)
+        self.store_cache.expire()
+        self.registry.tick(now)
         for running in self._exchanges:
-            if running.to_be_moved:
+            if running.should_move:
                 running.move()
 
     def _log_stall(self, delay_s: float) -> None:
         self.log.write("held-up", ms=round(delay_s * 1000, 1))
 
     def _close_idle(self) -> None:
-        self.pool.keep_only(set(self.listed.entries))
+        self.pool.prune(set(self.endpoint_list.entries))
         self.pool.expire()
 
 
--- a/martenjunction/http1/client.py
+++ b/martenjunction/http1/client.py
@@ -125,14 +125,14 @@
             return False
         if self._source.has_pending_result or self._stream.closed():
             return True
-        return peeks.peek(self._stream.socket) is not peeks.Waiting.NOTHING
+        return peeks.peek(self._stream.socket) is not peeks.PendingInput.NOTHING
 
     def is_quiet(self) -> bool:
         """Returns whether it is reusable and its socket has nothing pending."""
         return self.is_reusable() and not self.readable
 
     @contextlib.asynccontextmanager
-    async def answer_within(self, timeout_s: float) -> AsyncIterator[None]:
+    async def response_timeout(self, timeout_s: float) -> AsyncIterator[None]:
         """Limits the time to wait for a response.
 
         Data that has arrived by the timeout may still be read: after the event
@@ -211,7 +211,7 @@
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 self._head = _parse_head(event)
-                self._head.asked_at = self._sent_at
+                self._head.sent_at = self._sent_at
                 self._on_head(self._head)
                 return self._head
             if isinstance(event, h11.ConnectionClosed):
--- a/martenjunction/http1/closings.py
+++ b/martenjunction/http1/close_reports.py
@@ -29,9 +29,9 @@
         server: Name of the server that accepted it.
         reason: Why it was closed.
         client: The client's IP address and port.
-        rested_s: Seconds since its last response, or since it was accepted.
+        idle_s: Seconds since its last response, or since it was accepted.
         answered: Number of requests that got a complete response on it.
-        under_way: Whether an accepted request has no complete response.
+        in_flight: Whether an accepted request has no complete response.
         bytes_waiting: Whether received bytes of a request are unread.
         request: A request that was read completely only after the connection
             was closed, or None.
@@ -40,9 +40,9 @@
     server: str
     reason: CloseReason
     client: str
-    rested_s: float
+    idle_s: float
     answered: int
-    under_way: bool
+    in_flight: bool
     bytes_waiting: bool
     request: messages.Request | None = None
 
--- a/martenjunction/http1/messages.py
+++ b/martenjunction/http1/messages.py
@@ -73,7 +73,7 @@
         keep_alive_s: Keep-alive timeout of the server in seconds, or None if
             it announced none.
         closes: Whether the server closes the connection after the response.
-        asked_at: Monotonic time at which the last request before the response
+        sent_at: Monotonic time at which the last request before the response
             was sent.
     """
 
@@ -81,7 +81,7 @@
     headers: Headers
     keep_alive_s: float | None = None
     closes: bool = False
-    asked_at: float = 0.0
+    sent_at: float = 0.0
 
     def get(self, name: bytes) -> bytes | None:
         """Returns the first value of a header, or None."""
--- a/martenjunction/http1/peeks.py
+++ b/martenjunction/http1/peeks.py
@@ -4,7 +4,7 @@
 import socket
 
 
-class Waiting(enum.Enum):
+class PendingInput(enum.Enum):
     """Result that a read of a socket would have."""
 
     NOTHING = "nothing"
@@ -12,7 +12,7 @@
     END = "end"
 
 
-def peek(sock: socket.socket | None) -> Waiting:
+def peek(sock: socket.socket | None) -> PendingInput:
     """Returns what a read of a socket would return, with one system call.
 
     The event loop sees pending data only in its next iteration, and not at all
@@ -22,12 +22,12 @@
         sock: A connected socket, or None if it was closed.
     """
     if sock is None:
-        return Waiting.END
+        return PendingInput.END
     try:
         waiting = sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
-        return Waiting.NOTHING
+        return PendingInput.NOTHING
     except OSError:
         # The connection was reset; a read would raise the same error.
-        return Waiting.END
-    return Waiting.BYTES if waiting else Waiting.END
+        return PendingInput.END
+    return PendingInput.BYTES if waiting else PendingInput.END
--- a/martenjunction/http1/server.py
+++ b/martenjunction/http1/server.py
@@ -11,7 +11,7 @@
 
 from martenjunction import addresses
 from martenjunction import errors
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.http1 import messages
 from martenjunction.http1 import request_errors
 from martenjunction.http1 import server_connection
@@ -35,7 +35,7 @@
         name: str,
         handler: Handler,
         limits: Callable[[], messages.ClientLimits] = messages.ClientLimits,
-        on_closed: closings.OnClosed = closings.ignore_report,
+        on_closed: close_reports.OnClosed = close_reports.ignore_report,
     ) -> None:
         """Initializes the server; `listen_on` starts it.
 
@@ -91,7 +91,7 @@
         """Stops listening and closes all connections immediately."""
         self.stop()
         for connection in list(self._connections):
-            connection.abort(closings.CloseReason.STOPPED)
+            connection.abort(close_reports.CloseReason.STOPPED)
 
     def handle_stream(
         self, stream: iostream.IOStream, address: tuple[str, int]
@@ -108,16 +108,16 @@
     async def _run_connection(
         self, connection: server_connection.ServerConnection
     ) -> None:
-        reason = closings.CloseReason.FAILED
+        reason = close_reports.CloseReason.FAILED
         try:
             reason = await self._serve(connection)
         except request_errors.RequestNotTakenError as error:
-            reason = closings.CloseReason.CLIENT
+            reason = close_reports.CloseReason.CLIENT
             closing = connection.closing(self._name)
             self._on_closed(dataclasses.replace(closing, request=error.request))
         except errors.ConnectionLostError:
             # The client disconnected; the handler has recorded that.
-            reason = closings.CloseReason.CLIENT
+            reason = close_reports.CloseReason.CLIENT
         except Exception:
             logger.exception("%s: failed to serve a connection", self._name)
         finally:
@@ -130,7 +130,7 @@
 
     async def _serve(
         self, connection: server_connection.ServerConnection
-    ) -> closings.CloseReason:
+    ) -> close_reports.CloseReason:
         """Serves all requests; returns why the connection is to be closed."""
         while True:
             try:
@@ -138,14 +138,14 @@
             except request_errors.RequestSyntaxError as error:
                 logger.info("%s: request rejected: %s", self._name, error)
                 await connection.answer(error.status, [], b"", close=True)
-                return closings.CloseReason.REFUSED
+                return close_reports.CloseReason.REFUSED
             if request is None:
-                return closings.CloseReason.CLIENT
+                return close_reports.CloseReason.CLIENT
             await self._handle(connection, request)
             if connection.unanswered:
-                return closings.CloseReason.FAILED
+                return close_reports.CloseReason.FAILED
             if not connection.prepare_next_request():
-                return closings.CloseReason.LAST_ANSWER
+                return close_reports.CloseReason.LAST_ANSWER
 
     async def _handle(
         self,
@@ -178,5 +178,5 @@
 
 # Expected reasons, which are not reported.
 _UNREPORTED = frozenset(
-    {closings.CloseReason.CLIENT, closings.CloseReason.LAST_ANSWER}
+    {close_reports.CloseReason.CLIENT, close_reports.CloseReason.LAST_ANSWER}
 )
--- a/martenjunction/http1/server_connection.py
+++ b/martenjunction/http1/server_connection.py
@@ -10,7 +10,7 @@
 from tornado import iostream
 
 from martenjunction import errors
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.http1 import connection_state
 from martenjunction.http1 import framing
 from martenjunction.http1 import messages
@@ -64,7 +64,7 @@
         self._response_started = False
         self._close_announced = False
         self._timer: asyncio.TimerHandle | None = None
-        self._timeout_reason = closings.CloseReason.IDLE
+        self._timeout_reason = close_reports.CloseReason.IDLE
         self._bodiless = False
         self._state = _State.RESTING
         self._shutting_down = False
@@ -72,7 +72,7 @@
         self._response_count = 0
         self._idle_since = time.monotonic()
         self._peer = streams.peer_address(stream)
-        self._report: closings.ClosedConnection | None = None
+        self._report: close_reports.ClosedConnection | None = None
 
     @property
     def answering(self) -> bool:
@@ -89,14 +89,14 @@
         """Whether the connection is closed."""
         return self._state is _State.CLOSED or self._stream.closed()
 
-    def closing(self, server: str) -> closings.ClosedConnection:
+    def closing(self, server: str) -> close_reports.ClosedConnection:
         """Returns a report on the closed, or still open, connection.
 
         Args:
             server: Name of the server that accepted it.
         """
         closing = self._report or self._build_report(
-            closings.CloseReason.CLIENT
+            close_reports.CloseReason.CLIENT
         )
         return dataclasses.replace(closing, server=server)
 
@@ -132,7 +132,7 @@
         self._accept_request(request)
         return request
 
-    def watch_end(self, callback: Callable[[], None] | None) -> None:
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
         """Sets the callback for a client that disconnects, or None."""
         self._source.on_end(callback)
 
@@ -217,7 +217,7 @@
                 self._set_timer(SHUTDOWN_READ_TIMEOUT_S, self._timeout_reason)
         self._close_if_idle()
 
-    def abort(self, reason: closings.CloseReason) -> None:
+    def abort(self, reason: close_reports.CloseReason) -> None:
         """Closes the connection; data in the socket's buffer is still sent.
 
         Args:
@@ -233,10 +233,12 @@
         limits = self._limits()
         if self._state is _State.READING:
             self._set_timer(
-                limits.header_timeout_s, closings.CloseReason.SLOW_HEAD
+                limits.header_timeout_s, close_reports.CloseReason.SLOW_HEAD
             )
         else:
-            self._set_timer(limits.idle_timeout_s, closings.CloseReason.IDLE)
+            self._set_timer(
+                limits.idle_timeout_s, close_reports.CloseReason.IDLE
+            )
         while True:
             event = self._next_event()
             if isinstance(event, h11.Request):
@@ -251,7 +253,7 @@
             if data and self._state is _State.RESTING:
                 self._transition(_Event.BYTES_CAME)
                 self._set_timer(
-                    limits.header_timeout_s, closings.CloseReason.SLOW_HEAD
+                    limits.header_timeout_s, close_reports.CloseReason.SLOW_HEAD
                 )
             self._parser.receive_data(data)
 
@@ -279,7 +281,9 @@
                 self._set_timer(None)
                 return b"".join(parts)
             elif event is h11.NEED_DATA:
-                self._set_timer(BODY_TIMEOUT_S, closings.CloseReason.SLOW_BODY)
+                self._set_timer(
+                    BODY_TIMEOUT_S, close_reports.CloseReason.SLOW_BODY
+                )
                 self._parser.receive_data(await self._source.read())
             else:
                 raise errors.ConnectionLostError("closed within a request body")
@@ -325,7 +329,7 @@
     def _set_timer(
         self,
         seconds: float | None,
-        reason: closings.CloseReason = closings.CloseReason.IDLE,
+        reason: close_reports.CloseReason = close_reports.CloseReason.IDLE,
     ) -> None:
         if self._timer is not None:
             self._timer.cancel()
@@ -337,7 +341,7 @@
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(seconds, self._on_timeout, reason)
 
-    def _on_timeout(self, reason: closings.CloseReason) -> None:
+    def _on_timeout(self, reason: close_reports.CloseReason) -> None:
         """Closes the connection unless the awaited bytes have arrived."""
         if self._source.bytes_waiting:
             # After the event loop was blocked, the timeout expires in the same
@@ -346,7 +350,7 @@
             self._set_timer(TIMEOUT_EXTENSION_S, reason)
             return
         left = self._remaining_idle_s()
-        if reason is closings.CloseReason.IDLE and left > 0.0:
+        if reason is close_reports.CloseReason.IDLE and left > 0.0:
             self._set_timer(left, reason)
             return
         self.abort(reason)
@@ -373,7 +377,7 @@
     def _close_if_idle(self) -> bool:
         """Closes an idle connection; returns whether it is closed."""
         if self._state is _State.RESTING and not self._source.bytes_waiting:
-            self.abort(closings.CloseReason.STOPPED)
+            self.abort(close_reports.CloseReason.STOPPED)
         return self.closed
 
     def _transition(self, event: connection_state.Event) -> None:
@@ -385,9 +389,9 @@
         self._idle_since = time.monotonic()
 
     def _build_report(
-        self, reason: closings.CloseReason
-    ) -> closings.ClosedConnection:
-        return closings.ClosedConnection(
+        self, reason: close_reports.CloseReason
+    ) -> close_reports.ClosedConnection:
+        return close_reports.ClosedConnection(
             "",
             reason,
             self._peer,
--- a/martenjunction/http1/streams.py
+++ b/martenjunction/http1/streams.py
@@ -87,7 +87,7 @@
             return not failed
         if self._stream.closed():
             return False
-        return peeks.peek(self._stream.socket) is peeks.Waiting.BYTES
+        return peeks.peek(self._stream.socket) is peeks.PendingInput.BYTES
 
     def prefetch(self) -> None:
         """Starts the next read without waiting for it."""
--- a/martenjunction/http_headers.py
+++ b/martenjunction/http_headers.py
@@ -59,17 +59,17 @@
     return [(n, v) for n, v in pairs if n.lower() not in dropped]
 
 
-def to_endpoint(pairs: Pairs) -> Pairs:
+def endpoint_headers(pairs: Pairs) -> Pairs:
     """Returns the caller's headers to forward to an endpoint."""
     return _without(pairs, _REQUEST_DROPPED)
 
 
-def to_caller(pairs: Pairs) -> Pairs:
+def caller_headers(pairs: Pairs) -> Pairs:
     """Returns the endpoint's headers to forward to a caller."""
     return _without(pairs, _RESPONSE_DROPPED)
 
 
-def decimal_of(value: str) -> float | None:
+def parse_decimal(value: str) -> float | None:
     """Returns the decimal number in a header such as `Retry-After`.
 
     Fractions are accepted. Returns None for a date or any other text that is
--- a/martenjunction/http_server.py
+++ b/martenjunction/http_server.py
@@ -22,7 +22,7 @@
 from martenjunction import errors
 from martenjunction import http_headers
 from martenjunction.decisions import outcomes
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.http1 import peeks
 
 # Seconds to complete a request head that had begun when the idle timeout
@@ -103,7 +103,7 @@
         """Stops listening and closes every connection at once."""
         self.stop()
         for connection in list(self._open_connections.values()):
-            connection.abort(closings.CloseReason.STOPPED)
+            connection.abort(close_reports.CloseReason.STOPPED)
 
     def handle_stream(
         self, stream: iostream.IOStream, address: tuple[Any, ...]
@@ -175,7 +175,7 @@
         """Closes a connection without an in-flight request."""
         self._stream.close()
 
-    def abort(self, reason: closings.CloseReason) -> None:
+    def abort(self, reason: close_reports.CloseReason) -> None:
         """Closes the connection, even if a request is in flight.
 
         Logs only a request whose head is incomplete. For any other, the
@@ -198,7 +198,7 @@
         would lose it.
         """
         waiting = peeks.peek(self._stream.socket)
-        return not self._stream.reading() or waiting is peeks.Waiting.BYTES
+        return not self._stream.reading() or waiting is peeks.PendingInput.BYTES
 
     @property
     def _head_started(self) -> bool:
@@ -279,16 +279,17 @@
 
 def close_reason(
     connection: httputil.HTTPConnection | None,
-) -> closings.CloseReason:
+) -> close_reports.CloseReason:
     """Returns the reason for which a request's connection was closed."""
     error = cast(http1connection.HTTP1Connection, connection).stream.error
     if isinstance(error, errors.LocalCloseError):
-        return closings.CloseReason(error.reason)
-    return closings.CloseReason.CLIENT
+        return close_reports.CloseReason(error.reason)
+    return close_reports.CloseReason.CLIENT
 
 
-def cut_off(
-    connection: httputil.HTTPConnection | None, reason: closings.CloseReason
+def abort(
+    connection: httputil.HTTPConnection | None,
+    reason: close_reports.CloseReason,
 ) -> None:
     """Closes a request's connection in the middle of its response."""
     stream = cast(http1connection.HTTP1Connection, connection).stream
@@ -305,8 +306,8 @@
 
 
 _TIMEOUT_REASONS = {
-    Stage.HEAD: closings.CloseReason.SLOW_HEAD,
-    Stage.BODY: closings.CloseReason.SLOW_BODY,
+    Stage.HEAD: close_reports.CloseReason.SLOW_HEAD,
+    Stage.BODY: close_reports.CloseReason.SLOW_BODY,
 }
 
 _TIMEOUT_RESPONSE = (
--- a/martenjunction/layouts.py
+++ b/martenjunction/layouts.py
@@ -50,7 +50,7 @@
             self._apply_layout()
 
     def _list_daemon(self, box: model.ListedBox) -> None:
-        self._members.listed(
+        self._members.update_listed(
             membership.Member(
                 box.name, box.zone, box.callers, box.operators, box.peers
             ),
--- a/martenjunction/model.py
+++ b/martenjunction/model.py
@@ -217,7 +217,7 @@
         return self.name or self.id
 
 
-def build(endpoint: Endpoint, service: Service) -> str:
+def build_id(endpoint: Endpoint, service: Service) -> str:
     """Returns an id of an endpoint's software version and configuration."""
     config = xxhash.xxh3_64_hexdigest(repr(service).encode())
     return f"{endpoint.version}/{config}"
--- a/martenjunction/objects/feed.py
+++ b/martenjunction/objects/feed.py
@@ -23,8 +23,8 @@
 
 WATCH_WAIT_S = 20.0
 BOXES_INTERVAL_S = 1.0
-FIRST_PAUSE = 0.2
-LONGEST_PAUSE = 5.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 5.0
 
 OnObjects = Callable[[list[store.ConfigObject]], None]
 OnBoxes = Callable[[list[model.ListedBox]], None]
@@ -66,7 +66,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
-    def answered_ago(self) -> float | None:
+    def last_response_age(self) -> float | None:
         """Seconds since the last response of the platform, or None."""
         if self._last_response_at is None:
             return None
@@ -107,20 +107,20 @@
     async def _run_repeatedly(
         self, step: Callable[[], Awaitable[None]], interval: float
     ) -> None:
-        backoff = FIRST_PAUSE
+        backoff = INITIAL_BACKOFF_S
         while True:
             if not self._is_watcher():
                 await asyncio.sleep(BOXES_INTERVAL_S)
                 continue
             try:
                 await step()
-                backoff = FIRST_PAUSE
+                backoff = INITIAL_BACKOFF_S
                 await asyncio.sleep(interval * (0.75 + self._rng.random() / 2))
             except errors.PlatformError as error:
                 self._failures += 1
                 logger.info("call to the platform failed: %s", error)
                 await asyncio.sleep(backoff * (0.5 + self._rng.random()))
-                backoff = min(backoff * 2.0, LONGEST_PAUSE)
+                backoff = min(backoff * 2.0, MAX_BACKOFF_S)
 
     async def _list(self) -> None:
         listed = await self._platform.list_objects(fleet.KEY_PREFIX)
--- a/martenjunction/operators/dumps.py
+++ b/martenjunction/operators/dumps.py
@@ -6,7 +6,7 @@
 from martenjunction.cells import host
 from martenjunction.claims import keeper
 from martenjunction.config import store
-from martenjunction.decisions import classing
+from martenjunction.decisions import classification
 from martenjunction.decisions.cells import placement
 from martenjunction.objects import client as object_client
 from martenjunction.objects import feed
@@ -18,16 +18,16 @@
     """Returns the cells that run on this daemon."""
     return {
         name: {
-            "waiting": task.decider.waiting,
-            "running": task.decider.running,
-            "granted": task.decider.counts.granted,
-            "shed": task.decider.counts.shed,
-            "shed_by_tier": task.decider.counts.shed_by_tier,
-            "preempted": task.decider.counts.preempted,
-            "ejected": task.decider.counts.ejected,
+            "waiting": task.dispatcher.waiting,
+            "running": task.dispatcher.running,
+            "granted": task.dispatcher.counts.granted,
+            "shed": task.dispatcher.counts.shed,
+            "shed_by_tier": task.dispatcher.counts.shed_by_tier,
+            "preempted": task.dispatcher.counts.preempted,
+            "ejected": task.dispatcher.counts.ejected,
             "endpoints": {
                 endpoint.name: of_endpoint(endpoint)
-                for endpoint in task.decider.endpoints.values()
+                for endpoint in task.dispatcher.endpoints.values()
             },
         }
         for name, task in cells.tasks.items()
@@ -57,13 +57,13 @@
         "moved": cell_broker.counts.moved,
         "returned": cell_broker.counts.returned,
         "tickets": states,
-        "owners": cell_broker.owners_now,
+        "owners": cell_broker.current_owners,
     }
 
 
 def of_members(members: membership.Membership) -> dict[str, Any]:
     """Returns the members that this daemon knows and whether they are live."""
-    live = {member.box for member in members.believed()}
+    live = {member.box for member in members.live_members()}
     return {
         member.box: {
             "zone": member.zone,
@@ -100,7 +100,7 @@
     }
 
 
-def of_policies(classifier: classing.Classifier) -> dict[str, Any]:
+def of_policies(classifier: classification.Classifier) -> dict[str, Any]:
     """Returns call and failure counts of the policies."""
     programs = {
         program.name: {
@@ -130,7 +130,7 @@
     return {
         "configured": True,
         "watcher": watcher,
-        "answered_ago_s": platform_feed.answered_ago,
+        "answered_ago_s": platform_feed.last_response_age,
         "failures": platform_feed.failures,
         "calls": platform.calls,
     }
--- a/martenjunction/operators/explain.py
+++ b/martenjunction/operators/explain.py
@@ -7,7 +7,7 @@
 from martenjunction.callers import chat
 from martenjunction.callers import service as caller_service
 from martenjunction.config import fleet
-from martenjunction.decisions import classing
+from martenjunction.decisions import classification
 from martenjunction.decisions import policies
 
 
@@ -53,7 +53,7 @@
 
 
 def _answer(
-    result: classing.Classed, model: str, config: fleet.FleetConfig
+    result: classification.Classification, model: str, config: fleet.FleetConfig
 ) -> dict[str, Any]:
     service = config.service_for_model(model) or config.service.get(model)
     endpoints = config.endpoints_of(service.name) if service else []
--- a/martenjunction/peers/flow.py
+++ b/martenjunction/peers/flow.py
@@ -62,7 +62,7 @@
         return self._sent - self._acked_by_peer < limit
 
     @property
-    def owes_word(self) -> bool:
+    def needs_ack(self) -> bool:
         """Whether an acknowledgment to the peer is due."""
         unacked = self._processed - self._acked_to_peer
         if unacked >= ACK_AFTER_FRAMES:
@@ -83,7 +83,7 @@
             self._sent_at.append(self._last_sent_at)
         return _HEADER.pack(self._processed % _COUNTER_MODULUS)
 
-    def take_frame(self, frame: bytes) -> bytes:
+    def receive_frame(self, frame: bytes) -> bytes:
         """Processes the header of a received frame and returns the payload.
 
         Raises:
@@ -105,6 +105,6 @@
                 self._late_until = now
         return frame[_HEADER.size :]
 
-    def note_taken(self) -> None:
+    def record_processed(self) -> None:
         """Records that the messages of a frame were processed."""
         self._processed += 1
--- a/martenjunction/peers/hub.py
+++ b/martenjunction/peers/hub.py
@@ -28,20 +28,20 @@
 
 # A heartbeat is due once this fraction of the interval has passed since the
 # last broadcast of a message of the same type, which replaces a heartbeat. A
-# timer checks this every `BEAT_LOOK_S` seconds, so that at most 0.7 s pass
-# between two of them; a box counts as silent after 1.2 s.
+# timer checks this every `HEARTBEAT_CHECK_S` seconds, so that at most 0.7 s
+# pass between two of them; a box counts as silent after 1.2 s.
 HEARTBEAT_DUE_FRACTION = 0.9
-BEAT_LOOK_S = HEARTBEAT_INTERVAL / 2
+HEARTBEAT_CHECK_S = HEARTBEAT_INTERVAL / 2
 
 # Seconds without a frame from the peer after which a connection is closed.
-SILENCE_LIMIT = 1.5
+SILENCE_TIMEOUT_S = 1.5
 
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 # Number of connections to each other availability zone in a fleet that is too
 # large for a full mesh.
-LINKS_TO_OTHER_ZONE = 2
+LINKS_PER_REMOTE_ZONE = 2
 
 MessageHandler = Callable[[str, Any], None]
 
@@ -59,7 +59,7 @@
         listen: str,
         seeds: tuple[str, ...] = (),
         rng: random.Random | None = None,
-        silence_limit: float = SILENCE_LIMIT,
+        silence_timeout_s: float = SILENCE_TIMEOUT_S,
     ) -> None:
         """Initializes the hub without opening connections.
 
@@ -72,10 +72,10 @@
             listen: Address to listen on.
             seeds: Addresses to connect to while no other daemon is known.
             rng: Source of the jitter of the back-off.
-            silence_limit: Seconds without a frame from the peer after which a
-                connection is closed.
+            silence_timeout_s: Seconds without a frame from the peer after which
+                a connection is closed.
         """
-        self._silence_limit = silence_limit
+        self._silence_limit = silence_timeout_s
         self._members = members
         self._key = key
         self._timers = clock
@@ -103,7 +103,7 @@
         """Sets the handler of a message type, called with box and message."""
         self._handlers[kind] = handler
 
-    def reachable(self, box: str) -> bool:
+    def is_connected(self, box: str) -> bool:
         """Returns whether there is a connection to a box."""
         return bool(self._links.get(box))
 
@@ -123,9 +123,9 @@
             if open_links and zone in (None, open_links[0].member.zone):
                 open_links[0].send(encoded)
         if zone is None and type(message) is self._heartbeat_type:
-            self._last_heartbeat_at = self._timers.listened()
+            self._last_heartbeat_at = self._timers.stall_adjusted_now()
 
-    def want(self, box: str) -> None:
+    def request_connection(self, box: str) -> None:
         """Requests an additional connection to a box."""
         self._requested.add(box)
 
@@ -149,7 +149,9 @@
             max_size=codec.MAX_MESSAGE,
             write_limit=links.WRITE_LIMIT,
         )
-        self._timers.subscribe("heartbeat", BEAT_LOOK_S, self._beat)
+        self._timers.subscribe(
+            "heartbeat", HEARTBEAT_CHECK_S, self._send_heartbeat
+        )
         self._timers.subscribe("peers", HEARTBEAT_INTERVAL, self.dial)
 
     async def stop(self) -> None:
@@ -167,7 +169,7 @@
         if not targets and not self._links:
             targets = [_placeholder(address) for address in self._seeds]
         for member in targets:
-            if member.box in self._dialing or self.reachable(member.box):
+            if member.box in self._dialing or self.is_connected(member.box):
                 continue
             task = asyncio.get_running_loop().create_task(
                 self._connect_with_retries(member)
@@ -176,8 +178,8 @@
 
     def _targets(self) -> list[membership.Member]:
         own = self._members.own
-        others = [m for m in self._members.believed() if m.box != own.box]
-        monitored = self._members.near()
+        others = [m for m in self._members.live_members() if m.box != own.box]
+        monitored = self._members.monitored_peers()
         requested = [m for m in others if m.box in self._requested]
         remote = self._links_to_other_zones(others, own.zone)
         return list({m.box: m for m in monitored + requested + remote}.values())
@@ -196,23 +198,23 @@
             ranking = rendezvous.ranked(
                 [m.box for m in members], self._members.own.box
             )
-            selected = set(ranking[:LINKS_TO_OTHER_ZONE])
+            selected = set(ranking[:LINKS_PER_REMOTE_ZONE])
             chosen.extend(m for m in members if m.box in selected)
         return chosen
 
     async def _connect_with_retries(self, member: membership.Member) -> None:
-        backoff = FIRST_PAUSE
+        backoff = INITIAL_BACKOFF_S
         try:
             while self._is_needed(member):
                 if await self._connect(member):
-                    backoff = FIRST_PAUSE
+                    backoff = INITIAL_BACKOFF_S
                 await asyncio.sleep(backoff * (0.5 + self._rng.random()))
-                backoff = min(backoff * 2.0, LONGEST_PAUSE)
+                backoff = min(backoff * 2.0, MAX_BACKOFF_S)
         finally:
             self._dialing.pop(member.box, None)
 
     def _is_needed(self, member: membership.Member) -> bool:
-        if self.reachable(member.box):
+        if self.is_connected(member.box):
             return False
         if member.box in self._seeds:
             return not self._links
@@ -260,13 +262,13 @@
 
     async def _run_link(self, link: links.Link) -> None:
         self._links.setdefault(link.box, []).append(link)
-        self._members.met(link.member)
+        self._members.record_connected(link.member)
         self._events.emit(events.PEER_CONNECTED, link.box)
         link.send(self._heartbeat())
         try:
             await link.run(lambda message: self._receive(link, message))
         finally:
-            self._drop(link)
+            self._remove_link(link)
 
     def _receive(self, link: links.Link, message: Any) -> None:
         handler = self._handlers.get(type(message))
@@ -276,7 +278,7 @@
             )
         handler(link.box, message)
 
-    def _drop(self, link: links.Link) -> None:
+    def _remove_link(self, link: links.Link) -> None:
         self._closed_counts.add(link.counts)
         open_links = self._links.get(link.box, [])
         if link in open_links:
@@ -290,17 +292,17 @@
             link for open_links in self._links.values() for link in open_links
         ]
 
-    def _beat(self) -> None:
-        now = self._timers.listened()
+    def _send_heartbeat(self) -> None:
+        now = self._timers.stall_adjusted_now()
         for link in self._all_links():
-            if now - link.heard > self._silence_limit:
+            if now - link.last_received_at > self._silence_limit:
                 logger.warning(
                     "closing the connection to %s: no frame within the timeout",
                     link.box,
                 )
                 link.close()
             else:
-                link.look()
+                link.flush_ack()
         heartbeat = self._heartbeat()
         self._heartbeat_type = type(heartbeat)
         if (
--- a/martenjunction/peers/links.py
+++ b/martenjunction/peers/links.py
@@ -88,7 +88,7 @@
         self._timers = clock
         self._flow = flow.FlowControl(clock.now)
         self._outbox = outbox.Outbox(self._flow)
-        self._last_received_at = clock.listened()
+        self._last_received_at = clock.stall_adjusted_now()
         self._counts = LinkCounts()
         self._closed = False
 
@@ -103,7 +103,7 @@
         return self._member
 
     @property
-    def heard(self) -> float:
+    def last_received_at(self) -> float:
         """Time of the last frame received, from `Timers.listened`."""
         return self._last_received_at
 
@@ -132,7 +132,7 @@
             return False
         return True
 
-    def look(self) -> None:
+    def flush_ack(self) -> None:
         """Wakes the writer to send an acknowledgment if one is due."""
         self._outbox.wake()
 
@@ -155,7 +155,7 @@
         writer = asyncio.get_running_loop().create_task(self._write())
         try:
             async for frame in self._connection:
-                self._last_received_at = self._timers.listened()
+                self._last_received_at = self._timers.stall_adjusted_now()
                 self._read(frame, receive)
         except ws_exceptions.ConnectionClosed:
             return
@@ -168,12 +168,12 @@
         if isinstance(frame, str):
             raise errors.PeerError("unexpected text frame")
         self._counts.bytes_in += len(frame)
-        batch = codec.decode_batch(self._flow.take_frame(frame))
+        batch = codec.decode_batch(self._flow.receive_frame(frame))
         for message in batch:
             self._counts.messages_in += 1
             receive(message)
         if batch:
-            self._flow.note_taken()
+            self._flow.record_processed()
         self._outbox.wake()
 
     async def _write(self) -> None:
