--- a/martenjunction/peers/membership.py
+++ b/martenjunction/peers/membership.py
@@ -14,7 +14,7 @@
 
 # Maximum number of daemons in a full mesh. In a larger fleet, a daemon connects
 # to all daemons of its availability zone and to a few of each other zone.
-ALL_LINKS_UP_TO = 32
+MAX_FULL_MESH_SIZE = 32
 
 
 @dataclasses.dataclass(slots=True)
@@ -30,9 +30,9 @@
         incarnation: Increases with each start; 0 if only listed.
         listed: Whether the platform's list reports it as live.
         leaving_since: Time when it was first known to be leaving, or None.
-        heard: Time of its last heartbeat or handshake, from
+        last_heartbeat_at: Time of its last heartbeat or handshake, from
             `Timers.listened`, or None.
-        held: Fraction of its capacity in use, from its last heartbeat.
+        utilization: Fraction of its capacity in use, from its last heartbeat.
         listed_since: Time when it was first listed, from `Timers.listened`.
     """
 
@@ -44,8 +44,8 @@
     incarnation: int = 0
     listed: bool = False
     leaving_since: float | None = None
-    heard: float | None = None
-    held: float = 0.0
+    last_heartbeat_at: float | None = None
+    utilization: float = 0.0
     listed_since: float = 0.0
 
 
@@ -83,23 +83,23 @@
         """All known daemons by box; callers must not modify it."""
         return self._members
 
-    def believed(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Returns the daemons that count as live and are not leaving."""
-        now = self._timers.listened()
+        now = self._timers.stall_adjusted_now()
         return [
             member
             for member in self._members.values()
             if member.leaving_since is None and self._is_live(member, now)
         ]
 
-    def near(self) -> list[Member]:
+    def monitored_peers(self) -> list[Member]:
         """Returns the other live daemons whose heartbeats are monitored.
 
         In a large fleet, this daemon also connects to a few daemons of other
         zones, but missing heartbeats of these have no effect.
         """
-        believed = self.believed()
-        is_full_mesh = len(believed) <= ALL_LINKS_UP_TO
+        believed = self.live_members()
+        is_full_mesh = len(believed) <= MAX_FULL_MESH_SIZE
         return [
             member
             for member in believed
@@ -107,13 +107,13 @@
             and self._is_monitored(member, is_full_mesh)
         ]
 
-    def listed(self, member: Member, live: bool, leaving: bool) -> None:
+    def update_listed(self, member: Member, live: bool, leaving: bool) -> None:
         """Updates a daemon from the platform's list."""
         if member.box == self._own.box:
             return
         known = self._members.setdefault(member.box, member)
         if known is member:
-            member.listed_since = self._timers.listened()
+            member.listed_since = self._timers.stall_adjusted_now()
         before = (known.listed, known.leaving_since)
         known.listed = live
         if leaving:
@@ -122,28 +122,30 @@
             age = self._timers.now() - known.leaving_since
             if age > LEAVING_LIFETIME_S:
                 known.leaving_since = None
-        if not live and known.heard is None:
+        if not live and known.last_heartbeat_at is None:
             del self._members[member.box]
         if before != (known.listed, known.leaving_since) or known is member:
             self._on_change()
 
-    def met(self, member: Member) -> None:
+    def record_connected(self, member: Member) -> None:
         """Records a daemon that completed a handshake."""
         known = self._members.get(member.box)
         if known is None or member.incarnation > known.incarnation:
             member.listed = known.listed if known is not None else False
             self._members[member.box] = member
-        self._members[member.box].heard = self._timers.listened()
+        self._members[
+            member.box
+        ].last_heartbeat_at = self._timers.stall_adjusted_now()
         self._on_change()
 
-    def heard(self, box: str, held: float) -> None:
+    def record_heartbeat(self, box: str, held: float) -> None:
         """Records a heartbeat."""
         member = self._members.get(box)
         if member is not None:
-            member.heard = self._timers.listened()
-            member.held = held
+            member.last_heartbeat_at = self._timers.stall_adjusted_now()
+            member.utilization = held
 
-    def leaving(self, box: str, incarnation: int) -> bool:
+    def mark_leaving(self, box: str, incarnation: int) -> bool:
         """Marks a daemon as leaving and returns whether this is new."""
         member = self._members.get(box)
         if member is None or member.incarnation > incarnation:
@@ -154,21 +156,22 @@
         self._on_change()
         return True
 
-    def silent_for(self, seconds: float) -> list[str]:
+    def silent_boxes(self, seconds: float) -> list[str]:
         """Returns listed boxes without a heartbeat for the given seconds.
 
         For a box without any heartbeat, the time counts from its first
         listing. Boxes whose heartbeats are not monitored are left out.
         """
-        now = self._timers.listened()
-        is_full_mesh = len(self.believed()) <= ALL_LINKS_UP_TO
+        now = self._timers.stall_adjusted_now()
+        is_full_mesh = len(self.live_members()) <= MAX_FULL_MESH_SIZE
         return [
             member.box
             for member in self._members.values()
             if member is not self._own
             and member.listed
             and self._is_monitored(member, is_full_mesh)
-            and now - (member.heard or member.listed_since) > seconds
+            and now - (member.last_heartbeat_at or member.listed_since)
+            > seconds
         ]
 
     def _is_monitored(self, member: Member, is_full_mesh: bool) -> bool:
@@ -182,6 +185,6 @@
         if member is self._own or member.listed:
             return True
         return (
-            member.heard is not None
-            and now - member.heard < HEARTBEAT_LIFETIME_S
+            member.last_heartbeat_at is not None
+            and now - member.last_heartbeat_at < HEARTBEAT_LIFETIME_S
         )
--- a/martenjunction/peers/outbox.py
+++ b/martenjunction/peers/outbox.py
@@ -70,7 +70,7 @@
             await self._has_work.wait()
             self._has_work.clear()
             messages = self.take_all()
-            if messages or self._flow.owes_word:
+            if messages or self._flow.needs_ack:
                 return messages
 
     def take_all(self) -> list[codec.Encoded]:
--- a/martenjunction/peers/sync.py
+++ b/martenjunction/peers/sync.py
@@ -93,7 +93,7 @@
             self._boxes[box.name] = box
 
     def _on_heartbeat(self, box: str, heartbeat: messages.Heartbeat) -> None:
-        self._members.heard(box, heartbeat.held)
+        self._members.record_heartbeat(box, heartbeat.held)
         if heartbeat.digest == self._store.digest:
             return
         if heartbeat.revision > self._store.revision:
@@ -113,7 +113,7 @@
         self._peers.send(box, messages.PullObjects(after))
 
     def _on_pull(self, box: str, pull: messages.PullObjects) -> None:
-        for message in _to_messages(self._store.after(pull.after)):
+        for message in _to_messages(self._store.objects_after(pull.after)):
             self._peers.send(box, message)
         if self._boxes:
             self._peers.send(box, _boxes_message(list(self._boxes.values())))
@@ -147,7 +147,7 @@
         self._on_listed(boxes)
 
     def _on_leaving(self, box: str, leaving: messages.Leaving) -> None:
-        if self._members.leaving(leaving.box, leaving.incarnation):
+        if self._members.mark_leaving(leaving.box, leaving.incarnation):
             # Forwarded once, for peers without a connection to that daemon.
             self._peers.broadcast(leaving, self._members.own.zone)
 
--- a/martenjunction/platform/documents.py
+++ b/martenjunction/platform/documents.py
@@ -293,11 +293,11 @@
     return msgspec.structs.asdict(entry)
 
 
-def decode_entry_question(query: dict[str, str]) -> tuple[str, str]:
+def decode_resolve_query(query: dict[str, str]) -> tuple[str, str]:
     """Returns the region and availability zone in a resolve query."""
     return query.get("region", ""), query.get("zone", "")
 
 
-def encode_entry_answer(addresses: list[str], ttl_s: float) -> bytes:
+def encode_resolve_response(addresses: list[str], ttl_s: float) -> bytes:
     """Returns the JSON body of a resolve response."""
     return msgspec.json.encode({"addresses": addresses, "ttl_s": ttl_s})
--- a/martenjunction/platform/headers.py
+++ b/martenjunction/platform/headers.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestMetadata:
     """Metadata from a request's headers.
 
     Attributes:
@@ -109,15 +109,15 @@
     Attributes:
         copy_to: Address of the endpoint that keeps a backup during the run, or
             None.
-        copied_at: Address of the endpoint with the backup from which the run is
+        copy_from: Address of the endpoint with the backup from which the run is
             resumed, or None.
     """
 
     copy_to: str | None = None
-    copied_at: str | None = None
+    copy_from: str | None = None
 
 
-def decode_request(headers: messages.Headers) -> RequestFacts:
+def decode_request(headers: messages.Headers) -> RequestMetadata:
     """Decodes the headers of a request, ignoring malformed values."""
     by_name = {name.lower(): value for name, value in reversed(headers)}
     tokens = _integers(by_name.get(_TOKENS, b""))
@@ -125,7 +125,7 @@
     scheme, _, key = authorization.partition(" ")
     deadline = _number(by_name.get(_DEADLINE.lower()))
     event_id = by_name.get(LAST_EVENT_ID.lower())
-    return RequestFacts(
+    return RequestMetadata(
         id=by_name.get(_REQUEST_ID.lower(), b"").decode("latin-1"),
         host=by_name.get(b"host", b"").decode("latin-1"),
         key=key.strip() if scheme.lower() == "bearer" else None,
@@ -137,7 +137,7 @@
     )
 
 
-def for_endpoint(
+def endpoint_headers(
     headers: messages.Headers,
     body_length: int | None,
     deadline_s: float,
@@ -174,9 +174,9 @@
         forwarded.append((_URGENCY, str(min(urgency, LOWEST_URGENCY)).encode()))
     if copies is not None and copies.copy_to is not None:
         forwarded.append((_COPY_TO, copies.copy_to.encode()))
-    if copies is not None and copies.copied_at is not None:
+    if copies is not None and copies.copy_from is not None:
         # The run that was backed up has the same id as this request.
-        origin = f"{copies.copied_at}/{request_id_of(headers)}"
+        origin = f"{copies.copy_from}/{request_id_of(headers)}"
         forwarded.append((_COPY_FROM, origin.encode()))
     if body_length is not None:
         forwarded.append((b"Content-Length", str(body_length).encode()))
@@ -189,7 +189,7 @@
     return "" if value is None else value.decode("latin-1")
 
 
-def for_client(headers: messages.Headers) -> messages.Headers:
+def client_headers(headers: messages.Headers) -> messages.Headers:
     """Returns an endpoint's headers without those of the framing."""
     return messages.without(headers, _FRAMING_HEADERS)
 
@@ -206,7 +206,7 @@
     return echoed.decode("latin-1") == request_id
 
 
-def is_not_run(head: messages.ResponseHead) -> bool:
+def was_not_executed(head: messages.ResponseHead) -> bool:
     """Returns whether the endpoint reports that it did not run the request."""
     return head.status == 421 or head.get(_NOT_RUN) is not None
 
--- a/martenjunction/platform/notices.py
+++ b/martenjunction/platform/notices.py
@@ -23,25 +23,25 @@
     """The notices in the headers of a response.
 
     Attributes:
-        leaves: Whether the endpoint must not be sent any more requests.
-        rest_s: Seconds of back-off requested from this box; 0 for none.
+        is_leaving: Whether the endpoint must not be sent any more requests.
+        backoff_s: Seconds of back-off requested from this box; 0 for none.
         limit_per_s: Rate limit of the endpoint in requests per second from all
             boxes together; None if there is no valid one.
-        unlimited: Whether the response answers a request and has no limit.
+        has_no_limit: Whether the response answers a request and has no limit.
         unreadable: A malformed value, for the log; empty if there is none.
     """
 
-    leaves: bool = False
-    rest_s: float = 0.0
+    is_leaving: bool = False
+    backoff_s: float = 0.0
     limit_per_s: float | None = None
-    unlimited: bool = False
+    has_no_limit: bool = False
     unreadable: str = ""
 
 
-NOTHING = EndpointNotice()
+NO_NOTICE = EndpointNotice()
 
 
-def is_of_another(head: messages.ResponseHead, endpoint: str) -> bool:
+def is_from_other_endpoint(head: messages.ResponseHead, endpoint: str) -> bool:
     """Returns whether a response comes from another endpoint.
 
     Addresses may be reused by endpoints of other services.
@@ -67,10 +67,11 @@
         endpoint: Id of the requested endpoint in its entry.
 
     Returns:
-        The notices, or `NOTHING` if another endpoint responded at the address.
+        The notices, or `NO_NOTICE` if another endpoint responded at the
+        address.
     """
-    if is_of_another(head, endpoint):
-        return NOTHING
+    if is_from_other_endpoint(head, endpoint):
+        return NO_NOTICE
     malformed: list[bytes] = []
     leaves = _is_leaving(head, malformed)
     rest_s = 0.0
@@ -99,7 +100,7 @@
     """Returns the numbers in a header and collects malformed values."""
     numbers = []
     for value in head.all(name):
-        number = http_headers.decimal_of(value.decode("latin-1"))
+        number = http_headers.parse_decimal(value.decode("latin-1"))
         if number is None:
             malformed.append(value)
         else:
--- a/martenjunction/platform/store.py
+++ b/martenjunction/platform/store.py
@@ -165,12 +165,12 @@
             return None
         return _object(_decode(response, _Object), response.era)
 
-    async def list(self, kind: str, may_be_old: bool = False) -> Listing:
+    async def list(self, kind: str, allow_stale: bool = False) -> Listing:
         """Returns the current version of all objects of a kind.
 
         Args:
             kind: The kind.
-            may_be_old: Whether the response may be some seconds old, which
+            allow_stale: Whether the response may be some seconds old, which
                 reduces the cost of the call to a tenth.
 
         Raises:
@@ -181,7 +181,7 @@
         era: int | None = None
         for _ in range(MAX_PAGES):
             query = {} if after is None else {"since_rev": after}
-            if may_be_old:
+            if allow_stale:
                 query["allow_stale"] = "1"
             path = _path(kind, query=query)
             response = await self._call("list", "GET", path)
@@ -345,10 +345,10 @@
         if body:
             headers += [_JSON, (b"Content-Length", str(len(body)).encode())]
         try:
-            async with connection.answer_within(timeout_s):
+            async with connection.response_timeout(timeout_s):
                 connection.send(method.encode(), path.encode(), headers, body)
                 head = await connection.read_head()
-            async with connection.answer_within(BODY_TIMEOUT_S):
+            async with connection.response_timeout(BODY_TIMEOUT_S):
                 content = await _body(connection)
         except (errors.TransportError, TimeoutError) as error:
             connection.abort()
@@ -394,7 +394,7 @@
 async def _body(connection: client.ClientConnection) -> bytes:
     parts: list[bytes] = []
     while True:
-        async with connection.answer_within(CALL_TIMEOUT_S):
+        async with connection.response_timeout(CALL_TIMEOUT_S):
             part = await connection.read_body()
         if not part:
             return b"".join(parts)
--- a/martenjunction/rankings.py
+++ b/martenjunction/rankings.py
@@ -59,7 +59,7 @@
     def owners(self, cell: directory.CellInfo) -> list[str]:
         """Returns the boxes that may own a cell, best first."""
         locations = [
-            directory.BoxPlace(member.box, member.zone)
+            directory.BoxLocation(member.box, member.zone)
             for member in self._reachable()
         ]
         return directory.owner_ranking(cell, locations)
@@ -87,9 +87,13 @@
     def _reachable(self) -> list[membership.Member]:
         return [
             member
-            for member in self._members.believed()
-            if member.box == self._box or self._peers.reachable(member.box)
+            for member in self._members.live_members()
+            if member.box == self._box or self._peers.is_connected(member.box)
         ]
 
     def _utilization_of(self, member: membership.Member) -> float:
-        return self._utilization() if member.box == self._box else member.held
+        return (
+            self._utilization()
+            if member.box == self._box
+            else member.utilization
+        )
--- a/martenjunction/relay/relay.py
+++ b/martenjunction/relay/relay.py
@@ -12,7 +12,7 @@
 from martenjunction.config import fleet
 from martenjunction.decisions import outcomes
 from martenjunction.decisions import retries
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.endpoints import client
 from martenjunction.endpoints import streams
 from martenjunction.relay import requests
@@ -25,7 +25,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tools:
+class RelayContext:
     """Dependencies shared by all relays of a daemon.
 
     Attributes:
@@ -49,18 +49,21 @@
     """Relays one request at its entry daemon."""
 
     def __init__(
-        self, request: requests.RoutedRequest, sink: sinks.Sink, tools: Tools
+        self,
+        request: requests.RoutedRequest,
+        sink: sinks.Sink,
+        context: RelayContext,
     ) -> None:
         """Initializes the relay; `run` starts it.
 
         Args:
             request: The request.
             sink: Receives the response for the caller.
-            tools: Dependencies shared by all relays.
+            context: Dependencies shared by all relays.
         """
         self._request = request
         self._sink = sink
-        self._tools = tools
+        self._context = context
         make = runs.conversations.get(request.service.kind)
         self.conversation = make(request)
         self._progress = outcomes.RequestProgress()
@@ -121,7 +124,7 @@
         if self._stream is not None:
             self._cancel_run()
         elif ticket is not None and ticket.state is broker.TicketState.WAITING:
-            ticket.verdicts.put(broker.Stopped(reason))
+            ticket.placement_results.put(broker.Stopped(reason))
 
     def stop_after_run(self, reason: broker.StopReason) -> None:
         """Lets the current run finish, but starts no other."""
@@ -160,21 +163,21 @@
 
     # Queueing.
 
-    async def _wait_for_slot(self) -> broker.Verdict:
+    async def _wait_for_slot(self) -> broker.PlacementResult:
         if self._stop is not None:
             return broker.Stopped(self._stop)
-        ticket = self._tools.broker.place(
+        ticket = self._context.broker.place(
             self._build_slot_request(), self._request.service.name
         )
         ticket.on_preempted = self._on_preempted
         self._ticket = ticket
-        return await ticket.verdicts.get()
+        return await ticket.placement_results.get()
 
-    def _build_slot_request(self) -> asks.Ask:
+    def _build_slot_request(self) -> dispatch_types.SlotRequest:
         request = self._request
         service_class = request.service_class
         left = request.expected_tokens - self.conversation.tokens
-        return asks.Ask(
+        return dispatch_types.SlotRequest(
             request_id=request.request_id,
             entry="",
             tier=service_class.tier,
@@ -190,7 +193,7 @@
             avoid=self._excluded_endpoints,
             preemptions=self._preemptions,
             zones=request.zones,
-            firm=self._progress.attempts > 0,
+            exempt_from_shedding=self._progress.attempts > 0,
         )
 
     def _may_be_preempted(self) -> bool:
@@ -207,19 +210,19 @@
 
     # Running.
 
-    async def _run_at_endpoint(self, name: str) -> asks.Ending:
+    async def _run_at_endpoint(self, name: str) -> dispatch_types.Ending:
         self._endpoint = name
         self._resumes = 0
         self._backoff_s = 0.0
         self._response_head = None
         self._tokens_before_run = self.conversation.tokens
-        endpoint = self._tools.endpoint(name)
+        endpoint = self._context.endpoint(name)
         if endpoint is None:
-            self._finish_run(asks.Ending.REFUSED)
-            return asks.Ending.REFUSED
+            self._finish_run(dispatch_types.Ending.REFUSED)
+            return dispatch_types.Ending.REFUSED
         ending = await self._attempt(endpoint, resume=False)
         while (
-            ending is asks.Ending.BROKEN
+            ending is dispatch_types.Ending.BROKEN
             and self._stop is None
             and self.conversation.can_resume
             and self._resumes < MAX_RESUMES
@@ -231,9 +234,9 @@
 
     async def _attempt(
         self, endpoint: fleet.Endpoint, resume: bool
-    ) -> asks.Ending:
+    ) -> dispatch_types.Ending:
         if self._stop is not None:
-            return asks.Ending.CANCELLED
+            return dispatch_types.Ending.CANCELLED
         conversation = self.conversation
         make = (
             conversation.resume_request
@@ -242,27 +245,35 @@
         )
         request = make(endpoint.address)
         if not resume:
-            self._progress.note(outcomes.Event.SENT)
-            self._run_started = self._tools.clock.now()
+            self._progress.record(outcomes.Event.SENT)
+            self._run_started = self._context.clock.now()
             self._run_first_token = None
-        self._last_activity_at = self._tools.clock.now()
-        self._stream = self._tools.http.open(request)
+        self._last_activity_at = self._context.clock.now()
+        self._stream = self._context.http.open(request)
         try:
             await conversation.relay(
                 self._stream,
                 _MonitoredSink(self, self._sink),
                 self._on_first_token,
             )
-        except sinks.CallerGoneError:
+        except sinks.CallerDisconnectedError:
             self.stop(broker.StopReason.CALLER_LEFT)
-            return self._record_ending(asks.Ending.CANCELLED)
+            return self._record_ending(dispatch_types.Ending.CANCELLED)
         except errors.EndpointNotReachedError:
             # The endpoint of a resumed run was reached before.
-            ending = asks.Ending.BROKEN if resume else asks.Ending.NOT_REACHED
+            ending = (
+                dispatch_types.Ending.BROKEN
+                if resume
+                else dispatch_types.Ending.NOT_REACHED
+            )
             return self._record_ending(ending)
         except errors.EndpointRefusedError as refusal:
-            self._backoff_s = refusal.rest_s
-            ending = asks.Ending.BROKEN if resume else asks.Ending.REFUSED
+            self._backoff_s = refusal.backoff_s
+            ending = (
+                dispatch_types.Ending.BROKEN
+                if resume
+                else dispatch_types.Ending.REFUSED
+            )
             return self._record_ending(ending)
         except errors.EndpointError:
             return self._record_ending(self._broken_ending())
@@ -271,38 +282,42 @@
                 self._stream.received_head or self._response_head
             )
             self._stream = None
-        return self._record_ending(asks.Ending.COMPLETE)
+        return self._record_ending(dispatch_types.Ending.COMPLETE)
 
-    def _broken_ending(self) -> asks.Ending:
-        return _STOP_ENDINGS.get(self._stop, asks.Ending.BROKEN)
+    def _broken_ending(self) -> dispatch_types.Ending:
+        return _STOP_ENDINGS.get(self._stop, dispatch_types.Ending.BROKEN)
 
-    def _record_ending(self, ending: asks.Ending) -> asks.Ending:
-        self._progress.note(_PROGRESS_EVENTS[ending])
+    def _record_ending(
+        self, ending: dispatch_types.Ending
+    ) -> dispatch_types.Ending:
+        self._progress.record(_PROGRESS_EVENTS[ending])
         return ending
 
     def _on_first_token(self) -> None:
-        now = self._tools.clock.now()
+        now = self._context.clock.now()
         self._last_activity_at = now
         if self._run_first_token is not None:
             return
         self._run_first_token = now - self._run_started
         if self._first_token is None:
             self._first_token = now - self._request.arrived
-        self._progress.note(outcomes.Event.ANSWERING)
+        self._progress.record(outcomes.Event.ANSWERING)
         if self._ticket is not None:
-            self._tools.broker.first_token(self._ticket, self._run_first_token)
+            self._context.broker.first_token(
+                self._ticket, self._run_first_token
+            )
 
-    def _finish_run(self, ending: asks.Ending) -> None:
+    def _finish_run(self, ending: dispatch_types.Ending) -> None:
         if self._ticket is None:
             return
-        duration = self._tools.clock.now() - self._run_started
+        duration = self._context.clock.now() - self._run_started
         interval = None
         if self._run_first_token is not None and self.conversation.tokens > 1:
             streaming = duration - self._run_first_token
             interval = streaming / (self.conversation.tokens - 1)
-        self._tools.broker.ended(
+        self._context.broker.ended(
             self._ticket,
-            asks.RunEnd(
+            dispatch_types.RunEnd(
                 self._request.request_id,
                 ending,
                 self._run_first_token,
@@ -321,26 +336,28 @@
         stream = self._stream
         ticket = self._ticket
         if stream is not None:
-            self._tools.http.cancel(stream)
+            self._context.http.cancel(stream)
         if ticket is None:
             return
-        endpoint = self._tools.endpoint(ticket.endpoint)
+        endpoint = self._context.endpoint(ticket.endpoint)
         if endpoint is None:
             return
         cancel_request = self.conversation.cancel_request(endpoint.address)
         if cancel_request is not None:
             # The response is not awaited: the engine also ends a run whose
             # stream is not resumed.
-            self._tools.http.open(cancel_request)
+            self._context.http.open(cancel_request)
 
     # After a run.
 
-    def _evaluate_run(self, ending: asks.Ending) -> results.Result | None:
+    def _evaluate_run(
+        self, ending: dispatch_types.Ending
+    ) -> results.Result | None:
         """Returns the result of the request, or None to retry it."""
-        if ending is asks.Ending.COMPLETE:
-            self._tools.budget.success()
+        if ending is dispatch_types.Ending.COMPLETE:
+            self._context.budget.success()
             return self._result(outcomes.Outcome.DONE)
-        if ending is asks.Ending.PREEMPTED:
+        if ending is dispatch_types.Ending.PREEMPTED:
             self._preemptions += 1
             self._stop = None
             return None
@@ -357,7 +374,7 @@
             "the endpoint did not answer in full",
         )
 
-    def _may_retry(self, ending: asks.Ending) -> bool:
+    def _may_retry(self, ending: dispatch_types.Ending) -> bool:
         # A run that delivered more tokens does not count as an attempt: the
         # response length, the time limit and the retry budget bound these.
         made_progress = self.conversation.tokens > self._tokens_before_run
@@ -366,7 +383,7 @@
         )
         if self._attempts_without_progress >= retries.MAX_ATTEMPTS:
             return False
-        if not self._progress.may_send_again(self._request.repeatable):
+        if not self._progress.may_retry(self._request.repeatable):
             return False
         partially_delivered = (
             self._progress.outcome is outcomes.Outcome.RAN_PARTLY
@@ -374,14 +391,14 @@
         if partially_delivered and not self.conversation.can_continue:
             return False
         # An attempt that did not reach the endpoint put no load on it.
-        not_reached = ending is asks.Ending.NOT_REACHED
-        return not_reached or self._tools.budget.take()
+        not_reached = ending is dispatch_types.Ending.NOT_REACHED
+        return not_reached or self._context.budget.take()
 
-    async def _back_off(self, ending: asks.Ending) -> None:
-        if ending is not asks.Ending.PREEMPTED:
-            jitter = self._tools.rng.random()
+    async def _back_off(self, ending: dispatch_types.Ending) -> None:
+        if ending is not dispatch_types.Ending.PREEMPTED:
+            jitter = self._context.rng.random()
             attempt = max(1, self._attempts_without_progress)
-            await asyncio.sleep(retries.pause_before(attempt, jitter))
+            await asyncio.sleep(retries.backoff_s(attempt, jitter))
 
     def _release(self) -> None:
         """Releases the stream and the ticket that are still held."""
@@ -391,9 +408,9 @@
         if ticket is None:
             return
         if ticket.state is broker.TicketState.RUNNING:
-            self._finish_run(asks.Ending.CANCELLED)
+            self._finish_run(dispatch_types.Ending.CANCELLED)
         else:
-            self._tools.broker.withdraw(ticket)
+            self._context.broker.withdraw(ticket)
 
     # Results.
 
@@ -427,7 +444,7 @@
             preemptions=self._preemptions,
             tokens=self.conversation.tokens,
             first_token_s=self._first_token,
-            duration_s=self._tools.clock.now() - self._request.arrived,
+            duration_s=self._context.clock.now() - self._request.arrived,
         )
 
 
@@ -450,21 +467,21 @@
 
 
 # Run endings for runs that the relay cancelled.
-_STOP_ENDINGS: dict[broker.StopReason | None, asks.Ending] = {
-    broker.StopReason.PREEMPTED: asks.Ending.PREEMPTED,
-    broker.StopReason.CALLER_LEFT: asks.Ending.CANCELLED,
-    broker.StopReason.TIME_LIMIT: asks.Ending.CANCELLED,
-    broker.StopReason.STALLED: asks.Ending.BROKEN,
+_STOP_ENDINGS: dict[broker.StopReason | None, dispatch_types.Ending] = {
+    broker.StopReason.PREEMPTED: dispatch_types.Ending.PREEMPTED,
+    broker.StopReason.CALLER_LEFT: dispatch_types.Ending.CANCELLED,
+    broker.StopReason.TIME_LIMIT: dispatch_types.Ending.CANCELLED,
+    broker.StopReason.STALLED: dispatch_types.Ending.BROKEN,
 }
 
 # Progress events for the endings of runs, from which the outcome is derived.
-_PROGRESS_EVENTS: dict[asks.Ending, outcomes.Event] = {
-    asks.Ending.COMPLETE: outcomes.Event.COMPLETE,
-    asks.Ending.NOT_REACHED: outcomes.Event.NOT_REACHED,
-    asks.Ending.REFUSED: outcomes.Event.REFUSED,
-    asks.Ending.BROKEN: outcomes.Event.BROKEN,
-    asks.Ending.CANCELLED: outcomes.Event.BROKEN,
-    asks.Ending.PREEMPTED: outcomes.Event.BROKEN,
+_PROGRESS_EVENTS: dict[dispatch_types.Ending, outcomes.Event] = {
+    dispatch_types.Ending.COMPLETE: outcomes.Event.COMPLETE,
+    dispatch_types.Ending.NOT_REACHED: outcomes.Event.NOT_REACHED,
+    dispatch_types.Ending.REFUSED: outcomes.Event.REFUSED,
+    dispatch_types.Ending.BROKEN: outcomes.Event.BROKEN,
+    dispatch_types.Ending.CANCELLED: outcomes.Event.BROKEN,
+    dispatch_types.Ending.PREEMPTED: outcomes.Event.BROKEN,
 }
 
 _STOP_CODES = {
--- a/martenjunction/relay/results.py
+++ b/martenjunction/relay/results.py
@@ -69,7 +69,7 @@
             return None
         return (self.duration_s - self.first_token_s) / (self.tokens - 1)
 
-    def attains(self, first_token: float, between_tokens: float) -> bool:
+    def meets_targets(self, first_token: float, between_tokens: float) -> bool:
         """Returns whether the targets of a service class were met.
 
         Args:
--- a/martenjunction/relay/sinks.py
+++ b/martenjunction/relay/sinks.py
@@ -5,7 +5,7 @@
 from martenjunction.endpoints import streams
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller disconnected."""
 
 
--- a/martenjunction/routing/admission.py
+++ b/martenjunction/routing/admission.py
@@ -5,8 +5,8 @@
 
 from martenjunction import errors
 from martenjunction import model
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_loads
-from martenjunction.decisions.boxes import key_freshness
 from martenjunction.platform import headers
 
 # Age of the last confirmed configuration, in seconds, beyond which an unknown
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        freshness: key_freshness.ConfigFreshness,
+        freshness: config_freshness.ConfigFreshness,
         fail_closed: bool,
         rng: random.Random,
     ) -> None:
@@ -79,7 +79,7 @@
         """The active configuration, or None."""
         return self._config
 
-    def put_in_force(self, config: model.RoutingConfig) -> bool:
+    def activate(self, config: model.RoutingConfig) -> bool:
         """Activates a configuration if it is newer; returns whether it was."""
         if self._config is not None and config.version <= self._config.version:
             return False
@@ -87,7 +87,7 @@
         return True
 
     def admit(
-        self, facts: headers.RequestFacts, path: str, received_at: float
+        self, facts: headers.RequestMetadata, path: str, received_at: float
     ) -> Admission:
         """Admits a request.
 
@@ -110,7 +110,7 @@
                 "no configuration has been received yet",
                 RETRY_NO_CONFIG_S,
             )
-        if self._freshness.lags(received_at):
+        if self._freshness.is_lagging(received_at):
             raise RefusalError(
                 503,
                 "behind",
@@ -154,13 +154,15 @@
             received_at: Steady-clock time of arrival.
             now: The current time.
         """
-        if self._freshness.lags(now) or not self._still_routed(admission):
+        if self._freshness.is_lagging(now) or not self._still_routed(admission):
             return False
         if admission.key is None or self._config is None:
             return True
         if admission.key not in self._config.workspaces:
             return False
-        return not self._fail_closed or self._freshness.covers(received_at)
+        return not self._fail_closed or self._freshness.allows_keys_at(
+            received_at
+        )
 
     def _still_routed(self, admission: Admission) -> bool:
         """Returns whether the active configuration still selects its service.
@@ -179,7 +181,7 @@
         self,
         config: model.RoutingConfig,
         route: model.Route,
-        facts: headers.RequestFacts,
+        facts: headers.RequestMetadata,
         received_at: float,
     ) -> model.Workspace | None:
         if not config.needs_keys or route.public:
@@ -188,7 +190,9 @@
         if workspace is None:
             self._refuse_if_stale(received_at)
             raise RefusalError(401, "unknown-key", "unknown API key")
-        if self._fail_closed and not self._freshness.covers(received_at):
+        if self._fail_closed and not self._freshness.allows_keys_at(
+            received_at
+        ):
             raise RefusalError(
                 503,
                 "stale-keys",
--- a/martenjunction/routing/box_dump.py
+++ b/martenjunction/routing/box_dump.py
@@ -2,21 +2,21 @@
 
 from typing import Any
 
-from martenjunction.decisions.boxes import key_freshness
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.endpoints import pool
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 from martenjunction.platform import store
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
-from martenjunction.routing import picture
+from martenjunction.routing import endpoint_registry
+from martenjunction.routing import store_cache
 
 
-def parts(
-    cache: picture.Picture,
-    freshness: key_freshness.ConfigFreshness,
+def component_states(
+    cache: store_cache.StoreCache,
+    freshness: config_freshness.ConfigFreshness,
     client: store.StoreClient,
-    book: endpoint_book.EndpointBook,
+    book: endpoint_registry.EndpointRegistry,
     connections: pool.EndpointPool,
     peers: hub.PeerHub,
     members: membership.Membership,
@@ -61,8 +61,8 @@
                 "failures": round(record.failures.value, 3),
                 "slowness": round(record.slowness.value, 3),
                 "health": record.health.state.value,
-                "rests_s": round(record.refusals.rest_until - now, 3)
-                if now < record.refusals.rest_until
+                "rests_s": round(record.refusals.backoff_until - now, 3)
+                if now < record.refusals.backoff_until
                 else 0.0,
             }
             for record in book.records.values()
@@ -70,8 +70,8 @@
         "leaving": book.listed.leaving,
         "engines": book.engines.dump(now),
         "peers": {
-            member.box: peers.reachable(member.box)
+            member.box: peers.is_connected(member.box)
             for member in members.members.values()
         },
-        "log_lines_left_out": log.left_out,
+        "log_lines_left_out": log.dropped,
     }
--- a/martenjunction/routing/closing_log.py
+++ b/martenjunction/routing/closing_log.py
@@ -1,6 +1,6 @@
 """Logs client connections that were closed abnormally."""
 
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.platform import headers
 from martenjunction.routing import decision_log
 
@@ -16,15 +16,15 @@
         """
         self._log = log
 
-    def __call__(self, closed: closings.ClosedConnection) -> None:
+    def __call__(self, closed: close_reports.ClosedConnection) -> None:
         """Logs a closed connection, or a request received after the close."""
         fields = {
             "server": closed.server,
             "why": closed.reason.value,
             "client": closed.client,
-            "rested_ms": round(closed.rested_s * 1000, 1),
+            "rested_ms": round(closed.idle_s * 1000, 1),
             "answered": closed.answered,
-            "under_way": closed.under_way,
+            "under_way": closed.in_flight,
             "bytes_waiting": closed.bytes_waiting,
         }
         if closed.request is None:
--- a/martenjunction/routing/config_documents.py
+++ b/martenjunction/routing/config_documents.py
@@ -26,7 +26,7 @@
         self._specs: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
         )
-        self._updates: dict[int, peer_messages.ConfigNews] = {}
+        self._updates: dict[int, peer_messages.ConfigUpdate] = {}
 
     def add(self, version: int, spec: bytes) -> None:
         """Adds the document that is now in force."""
@@ -35,7 +35,7 @@
         while len(self._specs) > MAX_DOCUMENTS:
             self._specs.popitem(last=False)
 
-    def update_for(self, version: int) -> peer_messages.ConfigNews | None:
+    def update_for(self, version: int) -> peer_messages.ConfigUpdate | None:
         """Returns the update for a box that has a given version.
 
         Args:
@@ -51,7 +51,7 @@
         base = version if version in self._specs else NO_BASE
         if base not in self._updates:
             spec = self._specs[newest]
-            self._updates[base] = peer_messages.ConfigNews(
+            self._updates[base] = peer_messages.ConfigUpdate(
                 newest,
                 base,
                 _digest(spec),
@@ -59,12 +59,12 @@
             )
         return self._updates[base]
 
-    def latest_update(self) -> peer_messages.ConfigNews | None:
+    def latest_update(self) -> peer_messages.ConfigUpdate | None:
         """Returns the update for a box that lacks only the last change."""
         versions = list(self._specs)
         return self.update_for(versions[-2] if len(versions) > 1 else NO_BASE)
 
-    def apply(self, update: peer_messages.ConfigNews) -> bytes | None:
+    def apply(self, update: peer_messages.ConfigUpdate) -> bytes | None:
         """Applies an update to its base document.
 
         Returns:
--- a/martenjunction/routing/decision_log.py
+++ b/martenjunction/routing/decision_log.py
@@ -24,7 +24,7 @@
         self._dropped: dict[str, int] = {}
 
     @property
-    def left_out(self) -> dict[str, int]:
+    def dropped(self) -> dict[str, int]:
         """The number of dropped lines by kind."""
         return dict(self._dropped)
 
--- a/martenjunction/routing/endpoint_ends.py
+++ b/martenjunction/routing/endpoint_liveness.py
@@ -11,7 +11,7 @@
 from martenjunction import errors
 from martenjunction import model
 from martenjunction.endpoints import pool
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 
 # Maximum time, in seconds, that a request waits for the check. Connections are
 # made or refused within a few milliseconds, and a retry should not be delayed
@@ -25,11 +25,13 @@
 EndCallback = Callable[[str], None]
 
 
-class EndpointEnds:
+class EndpointLiveness:
     """Checks endpoints at which runs broke off."""
 
     def __init__(
-        self, book: endpoint_book.EndpointBook, connections: pool.EndpointPool
+        self,
+        book: endpoint_registry.EndpointRegistry,
+        connections: pool.EndpointPool,
     ) -> None:
         """Initializes the checker.
 
@@ -56,7 +58,7 @@
         if listed.restarted(endpoint.id):
             self._on_ended(endpoint.id)
             return
-        if not listed.may_send(endpoint.id):
+        if not listed.is_ready(endpoint.id):
             # A planned shutdown is in progress or complete.
             return
         check_task = self._checks.get(endpoint.id)
--- a/martenjunction/routing/endpoint_notices.py
+++ b/martenjunction/routing/endpoint_notices.py
@@ -6,7 +6,7 @@
 from martenjunction.http1 import messages
 from martenjunction.platform import notices
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import leaving_sync
 from martenjunction.routing import limit_sync
 
@@ -23,7 +23,7 @@
         self,
         leaving: leaving_sync.LeavingSync,
         limits: limit_sync.LimitSync,
-        book: endpoint_book.EndpointBook,
+        book: endpoint_registry.EndpointRegistry,
         now: Callable[[], float],
         log: decision_log.DecisionLog,
     ) -> None:
@@ -47,12 +47,14 @@
     ) -> None:
         """Handles the notices in a response head."""
         notice = notices.notice_of(head, endpoint.entry)
-        if notice.leaves:
-            self._leaving.say_leaving(endpoint.id)
-        if notice.rest_s:
-            self._back_off(endpoint, head.status, notice.rest_s)
-        if notice.limit_per_s is not None or notice.unlimited:
-            self._limits.say(endpoint.id, notice.limit_per_s, head.asked_at)
+        if notice.is_leaving:
+            self._leaving.report_leaving(endpoint.id)
+        if notice.backoff_s:
+            self._back_off(endpoint, head.status, notice.backoff_s)
+        if notice.limit_per_s is not None or notice.has_no_limit:
+            self._limits.report_limit(
+                endpoint.id, notice.limit_per_s, head.sent_at
+            )
         if notice.unreadable:
             self._log.write(
                 "endpoint-notice-unreadable",
@@ -64,7 +66,7 @@
     def _back_off(
         self, endpoint: model.Endpoint, status: int, asked_s: float
     ) -> None:
-        longer_s = self._book.rest(endpoint.id, asked_s, self._now())
+        longer_s = self._book.start_backoff(endpoint.id, asked_s, self._now())
         if longer_s:
             self._log.write(
                 "endpoint-rests",
--- a/martenjunction/routing/endpoint_book.py
+++ b/martenjunction/routing/endpoint_registry.py
@@ -24,7 +24,7 @@
 IDLE_DECAY = 0.02
 
 # Lower and upper bound of the ratio of observed to predicted latency.
-SLOWNESS = (0.3, 4.0)
+SLOWNESS_BOUNDS = (0.3, 4.0)
 
 # Maximum slowness of an engine whose token pauses are used to learn the profile
 # of its service.
@@ -72,9 +72,9 @@
     return {
         "endpoint": choice.record.id,
         "predicted_ms": round(choice.predicted_s * 1000, 1),
-        "unread": choice.unread,
+        "unread": choice.prefill_tokens,
         "running": choice.running,
-        "ahead": choice.ahead,
+        "ahead": choice.tokens_ahead,
         "debt": choice.debt,
         "short": choice.short_running,
         "slowness": round(choice.record.slowness.value, 2),
@@ -87,7 +87,7 @@
 LoadRow = tuple[str, int, bool, int, int]
 
 
-class EndpointBook:
+class EndpointRegistry:
     """Tracks the endpoints of all services and selects one per request."""
 
     def __init__(
@@ -183,7 +183,7 @@
         since it was selected.
         """
         record = self._records.get(endpoint_id)
-        return self._listed.may_send(endpoint_id) and (
+        return self._listed.is_ready(endpoint_id) and (
             record is None or record.accepts(now)
         )
 
@@ -212,7 +212,9 @@
         if not first_s:
             return None
         # Without jitter, clients refused together would retry together.
-        return first_s + self._rng.uniform(0.0, endpoint_refusals.RETURN_STEP_S)
+        return first_s + self._rng.uniform(
+            0.0, endpoint_refusals.RAMP_UP_STEP_S
+        )
 
     def limited(self, service: str) -> bool:
         """Returns whether any endpoint of a service announces a rate limit."""
@@ -221,7 +223,7 @@
             for endpoint in self._listed.ready(service)
         )
 
-    def unlimited(self, endpoint_id: str, now: float) -> None:
+    def clear_limit(self, endpoint_id: str, now: float) -> None:
         """Records that an endpoint no longer announces a rate limit.
 
         Args:
@@ -230,16 +232,18 @@
         """
         record = self._records.get(endpoint_id)
         if record is not None:
-            record.refusals.return_from(now)
+            record.refusals.begin_ramp_up(now)
 
-    def resting(self, now: float) -> int:
+    def backoff_count(self, now: float) -> int:
         """Returns the number of endpoints in back-off for this box."""
         return sum(
-            now < record.refusals.rest_until
+            now < record.refusals.backoff_until
             for record in self._records.values()
         )
 
-    def rest(self, endpoint_id: str, seconds: float, now: float) -> float:
+    def start_backoff(
+        self, endpoint_id: str, seconds: float, now: float
+    ) -> float:
         """Starts or extends the back-off that an endpoint requested.
 
         The back-off applies to this box only.
@@ -255,7 +259,7 @@
         record = self._records.get(endpoint_id)
         if record is None:
             return 0.0
-        return record.refusals.ask_rest(seconds, self._rng.random(), now)
+        return record.refusals.start_backoff(seconds, self._rng.random(), now)
 
     def serves_lower_tiers(
         self, service: model.Service, urgency: int, now: float
@@ -268,11 +272,11 @@
             now: The current time.
         """
         return any(
-            self._record(endpoint, service).loads.lower_tiers(urgency, now)
+            self._record(endpoint, service).loads.running_below(urgency, now)
             for endpoint in self._listed.ready(service.name)
         )
 
-    def weigh(
+    def evaluate(
         self,
         endpoint: model.Endpoint,
         service: model.Service,
@@ -281,7 +285,7 @@
     ) -> endpoint_choice.Choice:
         """Returns the prediction for a request at a given endpoint."""
         record = self._record(endpoint, service)
-        return endpoint_choice.weigh(record, demand, False, now)
+        return endpoint_choice.evaluate(record, demand, False, now)
 
     def begin(
         self,
@@ -291,13 +295,15 @@
     ) -> RunTicket:
         """Records that a request is sent to the selected endpoint."""
         ticket = RunTicket(choice, demand, now, self._listening_time(now))
-        choice.record.loads.add(demand.load_key, 1, choice.unread)
+        choice.record.loads.add(demand.load_key, 1, choice.prefill_tokens)
         if demand.is_engine:
-            choice.record.sent(choice.unread, now)
+            choice.record.record_sent(choice.prefill_tokens, now)
         self._tickets.add(ticket)
         return ticket
 
-    def heard(self, ticket: RunTicket, now: float, events: int = 0) -> None:
+    def note_response(
+        self, ticket: RunTicket, now: float, events: int = 0
+    ) -> None:
         """Records that response bytes were received.
 
         Args:
@@ -309,7 +315,7 @@
         listened = self._listening_time(now)
         self._last_received[record.id] = listened
         self._ejection.note_response(record, now)
-        record.refusals.answer(ticket.started_at)
+        record.refusals.record_answer(ticket.started_at)
         ticket.move_requested = False
         pause_s = listened - ticket.last_received_at
         ticket.last_received_at = listened
@@ -317,19 +323,26 @@
             self._learn_pause(ticket, pause_s, events, now)
             return
         ticket.waiting = False
-        record.loads.add(ticket.demand.load_key, 0, -ticket.choice.unread)
+        record.loads.add(
+            ticket.demand.load_key, 0, -ticket.choice.prefill_tokens
+        )
         if ticket.demand.is_engine:
-            record.remember(ticket.demand.parts)
+            record.record_cached(ticket.demand.parts)
             # The prediction already includes the slowness factor.
             base = ticket.choice.predicted_s / record.slowness.value
             ratio = pause_s / base
-            record.slowness.add(min(max(ratio, SLOWNESS[0]), SLOWNESS[1]))
-            if ticket.choice.ahead == 0 and ticket.choice.again == 0:
+            record.slowness.add(
+                min(max(ratio, SLOWNESS_BOUNDS[0]), SLOWNESS_BOUNDS[1])
+            )
+            if (
+                ticket.choice.tokens_ahead == 0
+                and ticket.choice.repeated_prefill_tokens == 0
+            ):
                 # Excludes prompts with shared parts that count as uncached.
                 # The engine may have cached them unknown to this box, so that
                 # a restarted box would greatly overestimate its engines.
                 self._engines.note_prefill_time(
-                    ticket.demand.service, ticket.choice.unread, pause_s
+                    ticket.demand.service, ticket.choice.prefill_tokens, pause_s
                 )
 
     def _learn_pause(
@@ -337,7 +350,7 @@
     ) -> None:
         """Learns from a stream pause that overlapped with prefill."""
         record = ticket.record
-        if not events or not record.loads.waiting(now):
+        if not events or not record.loads.backlog_tokens(now):
             return
         if record.slowness.value > MAX_LEARNING_SLOWNESS:
             return
@@ -348,19 +361,19 @@
         """Records the end of a run at an endpoint."""
         record = ticket.record
         self._tickets.discard(ticket)
-        unread = ticket.choice.unread if ticket.waiting else 0
+        unread = ticket.choice.prefill_tokens if ticket.waiting else 0
         record.loads.add(ticket.demand.load_key, -1, -unread)
         ticket.waiting = False
-        if not (failed and now < record.refusals.rest_until):
+        if not (failed and now < record.refusals.backoff_until):
             # The back-off alone keeps work away; afterwards the endpoint gets
             # its full share again.
             record.failures.add(1.0 if failed else 0.0)
         if not failed and not ticket.demand.is_engine:
-            record.answer_s.add(self._listening_time(now) - ticket.sent_at)
+            record.response_s.add(self._listening_time(now) - ticket.sent_at)
 
     def note_refusal(self, endpoint_id: str, now: float) -> None:
         """Records that an endpoint, full or leaving, refused a request."""
-        self._records[endpoint_id].refusals.refuse(now)
+        self._records[endpoint_id].refusals.record_refusal(now)
 
     def note_unreachable(self, endpoint_id: str, now: float) -> None:
         """Records that no connection to an endpoint could be made."""
@@ -368,7 +381,7 @@
         if record is not None:
             self._ejection.note_unreachable(record, now)
 
-    def broken(self, endpoint_id: str, now: float) -> None:
+    def note_broken_response(self, endpoint_id: str, now: float) -> None:
         """Records that a response of an endpoint was broken off."""
         record = self._records.get(endpoint_id)
         if record is not None:
@@ -418,13 +431,13 @@
             record = self._records[removed]
             # Its back-off still applies if the entry reappears, unless the
             # endpoint restarted.
-            in_backoff = now < record.refusals.rest_until
+            in_backoff = now < record.refusals.backoff_until
             keep_backoff = in_backoff and not self._listed.restarted(removed)
             if record.loads.own_running == 0 and not keep_backoff:
                 del self._records[removed]
                 self._last_received.pop(removed, None)
         self._decay_idle()
-        self._engines.settle(now)
+        self._engines.recompute(now)
 
     def loads(self) -> list[LoadRow]:
         """Returns the non-zero loads of this box, for the other boxes."""
@@ -434,7 +447,7 @@
                 key.urgency,
                 key.is_long,
                 load.running,
-                max(0, load.unread),
+                max(0, load.backlog_tokens),
             )
             for record in self._records.values()
             for key, load in record.loads.own.items()
@@ -449,22 +462,22 @@
             if record.sent_tokens
         ]
 
-    def scale_loads(self, scale: float) -> None:
+    def set_load_scale(self, scale: float) -> None:
         """Sets the ratio of the total load to the load of reachable boxes."""
         self._scale = scale
         for record in self._records.values():
             record.loads.scale = scale
 
-    def take_peer_sent(
+    def update_peer_sent(
         self, box: str, rows: list[tuple[str, int]], now: float
     ) -> None:
         """Updates the total tokens that another box has sent to each engine."""
         for endpoint_id, total in rows:
             record = self._records.get(endpoint_id)
             if record is not None:
-                record.take_peer_sent(box, total, now)
+                record.update_peer_sent(box, total, now)
 
-    def take_peer_loads(
+    def update_peer_loads(
         self, box: str, rows: list[LoadRow], now: float
     ) -> None:
         """Replaces the endpoint loads reported by another box."""
@@ -484,7 +497,9 @@
         for endpoint_id in previous | set(reported):
             record = self._records.get(endpoint_id)
             if record is not None:
-                record.loads.take_peer(box, reported.get(endpoint_id, {}), now)
+                record.loads.update_peer(
+                    box, reported.get(endpoint_id, {}), now
+                )
 
     def _record(
         self, endpoint: model.Endpoint, service: model.Service
@@ -498,7 +513,7 @@
             record.loads.scale = self._scale
             self._records[endpoint.id] = record
         if service.engine is not None:
-            record.figures = self._engines.figures(service.name)
+            record.profile = self._engines.profile(service.name)
         record.limited = self._limits.per_s(endpoint.id) is not None
         return record
 
@@ -528,6 +543,6 @@
             if record.loads.own_running == 0:
                 record.failures.drift(0.0, IDLE_DECAY)
                 record.slowness.drift(1.0, IDLE_DECAY)
-                record.answer_s.drift(
-                    endpoint_records.PLAIN_ANSWER_S, IDLE_DECAY
+                record.response_s.drift(
+                    endpoint_records.INITIAL_RESPONSE_S, IDLE_DECAY
                 )
--- a/martenjunction/routing/endpoint_runs.py
+++ b/martenjunction/routing/endpoint_runs.py
@@ -13,7 +13,7 @@
 from martenjunction.http1 import server_connection
 from martenjunction.platform import headers
 from martenjunction.routing import admission
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import offers
 
 # Statuses that would tell the client that the request did not run.
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        tools: offers.Tools,
+        context: offers.ExchangeContext,
         connection: server_connection.ServerConnection,
         request: messages.Request,
         state: offers.RequestState,
@@ -46,23 +46,23 @@
         """Initializes the runs of an admitted request.
 
         Args:
-            tools: The objects shared by all exchanges.
+            context: The objects shared by all exchanges.
             connection: The client's connection.
             request: The complete request.
             state: The progress of the request.
             admitted: The admitted request.
         """
-        self._tools = tools
+        self._context = context
         self._connection = connection
         self._request = request
         self._state = state
         self._admitted = admitted
         self._running: attempt.Attempt | None = None
-        self._ticket: endpoint_book.RunTicket | None = None
+        self._ticket: endpoint_registry.RunTicket | None = None
         self._fallback: Answer | None = None
 
     @property
-    def ticket(self) -> endpoint_book.RunTicket | None:
+    def ticket(self) -> endpoint_registry.RunTicket | None:
         """The ticket of the current run, or None."""
         return self._ticket
 
@@ -72,7 +72,7 @@
         return self._fallback
 
     @property
-    def to_be_moved(self) -> bool:
+    def should_move(self) -> bool:
         """Whether the request should be moved to another endpoint."""
         ticket = self._ticket
         if ticket is None:
@@ -122,22 +122,22 @@
             # the run right after it was sent.
             self._state.failure = CLIENT_LEFT
             offer.permit.close()
-            self._tools.grants.put_back(offer.grant)
-            self._tools.pool.release(endpoint.id, run.connection)
+            self._context.grants.refund(offer.grant)
+            self._context.pool.release(endpoint.id, run.connection)
             raise errors.ConnectionLostError("the client left")
-        book = self._tools.book
+        book = self._context.registry
         ticket = book.begin(offer.choice, demand, time.monotonic())
         self._running, self._ticket = run, ticket
-        self._state.choices.append(endpoint_book.describe(offer.choice))
+        self._state.choices.append(endpoint_registry.describe(offer.choice))
         failed = True
         try:
             run.send(self._request, self._build_headers(endpoint, copies))
-            self._state.progress.note(outcomes.Event.SENT)
+            self._state.progress.record(outcomes.Event.SENT)
             finished = await self._receive(offer, ticket)
             failed = not finished
             return finished
         except errors.EndpointNotReachedError:
-            self._tools.grants.put_back(offer.grant)
+            self._context.grants.refund(offer.grant)
             return False
         except errors.EndpointError as error:
             self._state.failure = f"{endpoint.id}: {error}"
@@ -146,13 +146,13 @@
             self._state.connection_broken = isinstance(
                 error.__cause__, errors.TransportError
             )
-            book.broken(endpoint.id, time.monotonic())
-            self._state.progress.note(outcomes.Event.BROKEN)
+            book.note_broken_response(endpoint.id, time.monotonic())
+            self._state.progress.record(outcomes.Event.BROKEN)
             if self._state.connection_broken:
                 # Checked before the retry: a request that crashes its endpoint
                 # would otherwise crash one endpoint after another.
-                offer.permit.broken(endpoint)
-                await self._tools.ends.check(endpoint)
+                offer.permit.record_broken_run(endpoint)
+                await self._context.liveness.check(endpoint)
             return False
         except BaseException:
             run.abort()
@@ -162,7 +162,7 @@
             self._running = self._ticket = None
             book.end(ticket, time.monotonic(), failed)
             offer.permit.close()
-            self._tools.pool.release(endpoint.id, run.connection)
+            self._context.pool.release(endpoint.id, run.connection)
 
     def _build_headers(
         self,
@@ -174,7 +174,7 @@
             request.headers, b"content-length"
         )
         workspace = self._admitted.workspace
-        return headers.for_endpoint(
+        return headers.endpoint_headers(
             request.headers,
             len(request.body) if framed else None,
             self._admitted.deadline - time.monotonic(),
@@ -188,16 +188,16 @@
     async def _receive(
         self,
         offer: offers.Offer,
-        ticket: endpoint_book.RunTicket,
+        ticket: endpoint_registry.RunTicket,
     ) -> bool:
         endpoint, run = offer.endpoint, offer.run
         head = await run.head()
-        if headers.is_not_run(head):
+        if headers.was_not_executed(head):
             await run.body()
             run.finish()
             self._state.refusals += 1
-            self._state.progress.note(outcomes.Event.REFUSED)
-            self._tools.book.note_refusal(endpoint.id, time.monotonic())
+            self._state.progress.record(outcomes.Event.REFUSED)
+            self._context.registry.note_refusal(endpoint.id, time.monotonic())
             self._state.failure = f"{endpoint.id}: refused with {head.status}"
             return False
         success = 200 <= head.status < 300
@@ -210,15 +210,15 @@
             await self._forward_events(head, offer, ticket)
             return True
         body = await run.body()
-        self._tools.book.heard(ticket, time.monotonic())
+        self._context.registry.note_response(ticket, time.monotonic())
         run.finish()
-        offer.permit.answered()
-        answer = Answer(head.status, headers.for_client(head.headers), body)
+        offer.permit.record_answer()
+        answer = Answer(head.status, headers.client_headers(head.headers), body)
         if success:
-            self._state.progress.note(outcomes.Event.COMPLETE)
+            self._state.progress.record(outcomes.Event.COMPLETE)
             await self.deliver(answer)
             return True
-        self._state.progress.note(outcomes.Event.BROKEN)
+        self._state.progress.record(outcomes.Event.BROKEN)
         self._state.failure = f"{endpoint.id}: status {head.status}"
         if head.status in NOT_RUN_STATUSES:
             # It may have run, so the status must not reach the client.
@@ -235,30 +235,30 @@
         self,
         head: messages.ResponseHead,
         offer: offers.Offer,
-        ticket: endpoint_book.RunTicket,
+        ticket: endpoint_registry.RunTicket,
     ) -> None:
         """Forwards a stream event by event."""
         run = offer.run
-        pairs = headers.for_client(head.headers)
+        pairs = headers.client_headers(head.headers)
         async for events in run.events():
             now = time.monotonic()
-            self._tools.book.heard(ticket, now, len(events))
+            self._context.registry.note_response(ticket, now, len(events))
             self._state.note_events(now)
             if not self._connection.answering:
-                self._state.progress.note(outcomes.Event.ANSWERING)
+                self._state.progress.record(outcomes.Event.ANSWERING)
                 await self._connection.begin(
-                    head.status, pairs, self._tools.closing()
+                    head.status, pairs, self._context.closing()
                 )
                 self._state.status = head.status
             await self._write_undelivered(events)
         if not self._connection.answering:
             await self._connection.begin(
-                head.status, pairs, self._tools.closing()
+                head.status, pairs, self._context.closing()
             )
             self._state.status = head.status
         run.finish()
-        offer.permit.answered()
-        self._state.progress.note(outcomes.Event.COMPLETE)
+        offer.permit.record_answer()
+        self._state.progress.record(outcomes.Event.COMPLETE)
         await self._connection.end()
 
     async def _write_undelivered(
@@ -279,7 +279,7 @@
         """Sends a complete response to the client."""
         self._state.status = answer.status
         await self._connection.answer(
-            answer.status, answer.headers, answer.body, self._tools.closing()
+            answer.status, answer.headers, answer.body, self._context.closing()
         )
 
 
--- a/martenjunction/routing/exchange.py
+++ b/martenjunction/routing/exchange.py
@@ -10,12 +10,12 @@
 from martenjunction.decisions import outcomes
 from martenjunction.decisions.boxes import endpoint_records
 from martenjunction.http1 import client
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.http1 import messages
 from martenjunction.http1 import server_connection
 from martenjunction.platform import headers
 from martenjunction.routing import admission
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import endpoint_runs
 from martenjunction.routing import offers
 from martenjunction.routing import request_account
@@ -60,25 +60,25 @@
 
     def __init__(
         self,
-        tools: offers.Tools,
+        context: offers.ExchangeContext,
         connection: server_connection.ServerConnection,
         request: messages.Request,
     ) -> None:
         """Initializes the exchange; `run` serves the request.
 
         Args:
-            tools: The objects shared by all exchanges.
+            context: The objects shared by all exchanges.
             connection: The client's connection.
             request: The complete request.
         """
-        self._tools = tools
+        self._context = context
         self._connection = connection
         self._request = request
         self._facts = headers.decode_request(request.headers)
         self._state = offers.RequestState(
             self._facts.id,
             request.received_at,
-            tools.content_keys.key(request, self._facts),
+            context.content_keys.key(request, self._facts),
         )
         self._admission: admission.Admission | None = None
         self._task: asyncio.Task[None] | None = None
@@ -87,14 +87,14 @@
         self._runs: endpoint_runs.EndpointRuns | None = None
 
     @property
-    def ticket(self) -> endpoint_book.RunTicket | None:
+    def ticket(self) -> endpoint_registry.RunTicket | None:
         """The ticket of the current run, or None."""
         return None if self._runs is None else self._runs.ticket
 
     @property
-    def to_be_moved(self) -> bool:
+    def should_move(self) -> bool:
         """Whether the request should be moved to another endpoint."""
-        return self._runs is not None and self._runs.to_be_moved
+        return self._runs is not None and self._runs.should_move
 
     def move(self) -> None:
         """Aborts the current run, so that another endpoint may be tried."""
@@ -139,20 +139,24 @@
             self._record_result()
 
     async def _serve(self) -> None:
-        admitted = self._tools.admitter.admit(
+        admitted = self._context.admitter.admit(
             self._facts,
             self._request.path.decode("latin-1"),
             self._request.received_at,
         )
         self._admission = admitted
         self._runs = runs = endpoint_runs.EndpointRuns(
-            self._tools, self._connection, self._request, self._state, admitted
+            self._context,
+            self._connection,
+            self._request,
+            self._state,
+            admitted,
         )
         self._refuse_if_stopping(admitted)
-        self._state.came_back = self._tools.deadlines.came_back(
+        self._state.is_retry = self._context.deadlines.is_retry(
             admitted.route.name, self._facts.deadline_s
         )
-        self._tools.budget.note_request(
+        self._context.budget.record_request(
             admitted.service.name, self._request.received_at
         )
         loop = asyncio.get_running_loop()
@@ -162,11 +166,13 @@
         )
         self._task = loop.create_task(self._run_attempts(admitted, runs))
         try:
-            self._connection.watch_end(lambda: self.stop(Ending.CLIENT_LEFT))
+            self._connection.on_disconnect(
+                lambda: self.stop(Ending.CLIENT_LEFT)
+            )
             await asyncio.wait([self._task])
         finally:
             self._timer.cancel()
-            self._connection.watch_end(None)
+            self._connection.on_disconnect(None)
             if not self._task.done():
                 self._task.cancel()
         await self._conclude(runs)
@@ -183,14 +189,14 @@
         Raises:
             RefusalError: If the client should retry at another box.
         """
-        stopping_s = self._tools.stopping_for_s()
+        stopping_s = self._context.stopping_for_s()
         if stopping_s is None:
             return
         time_left_s = admitted.deadline - time.monotonic()
         needed_s = min(
             STOP_TARGET_FACTOR * admitted.route.target_s, time_left_s
         )
-        latest_s = self._tools.stop_limit_s - needed_s
+        latest_s = self._context.stop_limit_s - needed_s
         latest_s = max(latest_s, MIN_ADMISSION_S)
         if admitted.route.kind is model.RouteKind.STREAM:
             latest_s = min(latest_s, STREAM_ADMISSION_S)
@@ -210,7 +216,7 @@
             return
         if isinstance(error, _StreamBrokenError):
             self._state.failure = self._state.failure or str(error)
-            self._connection.abort(closings.CloseReason.ANSWER_BROKEN)
+            self._connection.abort(close_reports.CloseReason.ANSWER_BROKEN)
             return
         if isinstance(error, admission.RefusalError):
             raise error
@@ -225,7 +231,7 @@
         """
         self._state.failure = f"{type(error).__name__}: {error}"
         if self._connection.answering:
-            self._connection.abort(closings.CloseReason.FAILED)
+            self._connection.abort(close_reports.CloseReason.FAILED)
         else:
             await self._refuse(502, "internal-error", None)
 
@@ -234,10 +240,10 @@
             self._ending.value if self._ending else "cancelled"
         )
         if self._ending is Ending.CLIENT_LEFT:
-            self._connection.abort(closings.CloseReason.CLIENT)
+            self._connection.abort(close_reports.CloseReason.CLIENT)
             raise errors.ConnectionLostError("the client left")
         if self._connection.answering:
-            self._connection.abort(closings.CloseReason.ANSWER_BROKEN)
+            self._connection.abort(close_reports.CloseReason.ANSWER_BROKEN)
         elif runs.fallback is not None:
             await runs.deliver(runs.fallback)
         elif self._state.progress.outcome is outcomes.Outcome.NOT_RUN:
@@ -249,7 +255,7 @@
         self, admitted: admission.Admission, runs: endpoint_runs.EndpointRuns
     ) -> None:
         demand = self._demand(admitted)
-        chosen = offers.Offers(self._tools, admitted, demand, self._state)
+        chosen = offers.Offers(self._context, admitted, demand, self._state)
         while True:
             offer = await chosen.next()
             if offer is None:
@@ -262,20 +268,20 @@
 
     def _demand(self, admitted: admission.Admission) -> endpoint_records.Demand:
         engine = admitted.service.engine
-        engines = self._tools.book.engines
+        engines = self._context.registry.engines
         return endpoint_records.Demand(
             admitted.service.name,
             tuple((part.id, part.tokens) for part in self._facts.parts),
             self._facts.prompt_tokens,
-            self._tools.zone,
+            self._context.zone,
             engine is not None,
             admitted.route.repeatable,
             admitted.urgency or 0,
             admitted.shortest_pause_s,
             admitted.route.gap_target_s,
             1 if engine is None else engine.tokens_per_event,
-            engines.figures(admitted.service.name),
-            engines.asked(admitted.service.name, time.monotonic()),
+            engines.profile(admitted.service.name),
+            engines.prefill_demand(admitted.service.name, time.monotonic()),
         )
 
     async def _finish_without_endpoint(
@@ -295,12 +301,12 @@
 
     async def _refuse_unsent(self, admitted: admission.Admission) -> None:
         """Refuses a request that did not run, with a Retry-After."""
-        opens_in_s = self._tools.book.opens_in_s(
+        opens_in_s = self._context.registry.opens_in_s(
             admitted.service, time.monotonic()
         )
-        limited = self._tools.book.limited(admitted.service.name)
+        limited = self._context.registry.limited(admitted.service.name)
         if limited and (opens_in_s is not None or self._state.grant_denied):
-            self._tools.precedence.note_refused(
+            self._context.precedence.record_refusal(
                 admitted.service.name, admitted.route.tier, time.monotonic()
             )
             # An endpoint that had no grant left may have one by then.
@@ -322,13 +328,13 @@
         if retry_after is not None:
             pairs.append(headers.retry_after(retry_after))
         await self._connection.answer(
-            status, pairs, code.encode(), self._tools.closing()
+            status, pairs, code.encode(), self._context.closing()
         )
 
     def _record_result(self) -> None:
         admitted = self._admission
         request_account.record_result(
-            self._tools,
+            self._context,
             self._state,
             None if admitted is None else admitted.route,
             str(self._state.status or self._ending or "broken"),
--- a/martenjunction/routing/follower.py
+++ b/martenjunction/routing/follower.py
@@ -13,7 +13,7 @@
 from martenjunction.platform import documents
 from martenjunction.platform import store
 from martenjunction.routing import decision_log
-from martenjunction.routing import picture
+from martenjunction.routing import store_cache
 
 # Timeout in seconds of a watch call. The store closes watches that it no longer
 # feeds, and a lost connection is detected by the other calls.
@@ -51,7 +51,7 @@
     def __init__(
         self,
         client: store.StoreClient,
-        cache: picture.Picture,
+        cache: store_cache.StoreCache,
         members: membership.Membership,
         own: documents.BoxEntry,
         log: decision_log.DecisionLog,
@@ -94,7 +94,7 @@
         client.on_era_change(self._on_era_change)
 
     @property
-    def answered(self) -> bool:
+    def is_synced(self) -> bool:
         """Whether this box reads and the store answered its last call."""
         return self._synced
 
@@ -238,7 +238,7 @@
         self._cache.store_answered()
         if found is not None:
             self._document_bytes = len(found.spec)
-            self._cache.take_config(found.spec, asked_at, "store")
+            self._cache.apply_config(found.spec, asked_at, "store")
         return found is not None
 
     async def _watch_config(self) -> None:
@@ -256,7 +256,7 @@
     def _apply_watched(self, found: store.StoredObject) -> None:
         """Applies a configuration unless a newer one is in force."""
         if found.name == documents.CONFIG_NAME:
-            self._cache.take_newer_config(found.spec, "watch")
+            self._cache.apply_newer_config(found.spec, "watch")
 
     async def _watch_endpoints(self) -> None:
         listing = await self._client.list(documents.ENDPOINT_KIND)
@@ -295,18 +295,18 @@
         await self._ensure_own_entry()
         # Stale data is acceptable: peers report newer members, and entries are
         # removed conditionally on their revision.
-        listing = await self._client.list(documents.BOX_KIND, may_be_old=True)
+        listing = await self._client.list(documents.BOX_KIND, allow_stale=True)
         present: dict[str, revisions.Revision] = {}
         for found in listing.objects:
             entry = self._decode_box(found)
             if entry is None:
                 continue
             present[entry.box] = found.revision
-            self._members.listed(_member(entry), True, entry.leaving)
+            self._members.update_listed(_member(entry), True, entry.leaving)
         for gone in set(self._listed) - set(present):
             member = self._members.members.get(gone)
             if member is not None:
-                self._members.listed(member, False, False)
+                self._members.update_listed(member, False, False)
         self._listed = present
         age_s = time.monotonic() - self._own_entry_written_at
         if self._own.box not in present and age_s > MAX_LIST_AGE_S:
@@ -382,7 +382,7 @@
 
     async def _remove_dead(self) -> None:
         """Removes the entries of boxes that have been silent for too long."""
-        for box in self._members.silent_for(DEAD_AFTER_S):
+        for box in self._members.silent_boxes(DEAD_AFTER_S):
             revision = self._listed.get(box)
             if revision is None:
                 continue
--- a/martenjunction/routing/holders.py
+++ b/martenjunction/routing/holders.py
@@ -54,7 +54,7 @@
         """Returns the fraction of the candidate boxes that are responsive."""
         responsive = self._candidates(key, self._responsive_peers())
         own = self._members.own
-        others = [m for m in self._members.believed() if m is not own]
+        others = [m for m in self._members.live_members() if m is not own]
         return min(1.0, len(responsive) / len(self._candidates(key, others)))
 
     def _candidates(
@@ -65,11 +65,11 @@
         In a large fleet all candidates are in one availability zone: boxes have
         most boxes of their own zone as peers, but only a few of other zones.
         """
-        believed = self._members.believed()
+        believed = self._members.live_members()
         own = self._members.own
         # Other boxes no longer select a box that is shutting down.
         boxes = [own, *others] if own in believed or not others else others
-        if len(believed) <= membership.ALL_LINKS_UP_TO:
+        if len(believed) <= membership.MAX_FULL_MESH_SIZE:
             return boxes
         zones = {member.zone for member in boxes}
         zone = rendezvous.owner(zones, key)
--- a/martenjunction/routing/leaving_sync.py
+++ b/martenjunction/routing/leaving_sync.py
@@ -49,14 +49,14 @@
         self._peers.subscribe(peer_messages.EndpointsLeaving, self._on_leaving)
         emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
-    def say_leaving(self, endpoint_id: str) -> None:
+    def report_leaving(self, endpoint_id: str) -> None:
         """Records an endpoint's own announcement and notifies all boxes."""
         if self._record(endpoint_id, "endpoint"):
             self._broadcast([endpoint_id])
 
     def _record(self, endpoint_id: str, source: str) -> bool:
         """Records that an endpoint leaves; returns whether it is new."""
-        if not self._listed.say_leaving(endpoint_id):
+        if not self._listed.mark_leaving(endpoint_id):
             return False
         self._log.write(
             "endpoint-leaving", endpoint=endpoint_id, told_by=source
@@ -77,6 +77,6 @@
     ) -> None:
         new_ids = [i for i in message.ids if self._record(i, box)]
         linked = len(self._peers.boxes()) + 1
-        if new_ids and linked < len(self._members.believed()):
+        if new_ids and linked < len(self._members.live_members()):
             # Forwards to boxes that the sender may not be connected to.
             self._broadcast(new_ids)
--- a/martenjunction/routing/limit_sync.py
+++ b/martenjunction/routing/limit_sync.py
@@ -8,7 +8,7 @@
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import peer_messages
 
 # Minimum interval in seconds between two messages of a box about one endpoint.
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        book: endpoint_book.EndpointBook,
+        book: endpoint_registry.EndpointRegistry,
         peers: hub.PeerHub,
         members: membership.Membership,
         clock: timers.Timers,
@@ -69,7 +69,7 @@
         emitter.connect(events.PEER_CONNECTED, self._on_connected)
         self._timers.subscribe("limits", CHECK_INTERVAL_S, self._check)
 
-    def say(
+    def report_limit(
         self, endpoint_id: str, per_s: float | None, asked_at: float
     ) -> None:
         """Records the limit in an endpoint's answer and notifies all boxes.
@@ -80,7 +80,7 @@
             asked_at: Time on the steady clock when the request was sent.
         """
         now = self._timers.now()
-        change = self._limits.say(endpoint_id, per_s, asked_at, now)
+        change = self._limits.apply_response(endpoint_id, per_s, asked_at, now)
         if change is not None:
             self._apply(endpoint_id, change, "endpoint", 0.0)
             self._pending.add(endpoint_id)
@@ -88,7 +88,7 @@
 
     def report(self, endpoint_id: str) -> peer_messages.LimitReport:
         """Returns this box's knowledge of an endpoint's limit for peers."""
-        known = self._limits.words.get(endpoint_id)
+        known = self._limits.reports.get(endpoint_id)
         if known is None:
             return peer_messages.LimitReport(endpoint_id, None, None)
         age_s = max(0.0, self._timers.now() - known.since)
@@ -101,7 +101,9 @@
         if report.age_ms is None:
             return False
         since = self._timers.now() - report.age_ms * MS
-        change = self._limits.take(report.endpoint, report.per_s, since)
+        change = self._limits.apply_peer_report(
+            report.endpoint, report.per_s, since
+        )
         if change is None:
             return False
         self._apply(report.endpoint, change, box, report.age_ms * MS)
@@ -110,7 +112,7 @@
     def _apply(
         self,
         endpoint_id: str,
-        change: endpoint_limits.Change,
+        change: endpoint_limits.LimitChange,
         source: str,
         age_s: float,
     ) -> None:
@@ -123,11 +125,11 @@
             age_ms=round(age_s / MS),
         )
         if change.per_s is None:
-            self._book.unlimited(endpoint_id, self._timers.now())
+            self._book.clear_limit(endpoint_id, self._timers.now())
 
     def _check(self) -> None:
         now = self._timers.now()
-        self._limits.keep_only(self._book.listed.entries, now)
+        self._limits.prune(self._book.listed.entries, now)
         self._send_due()
         for endpoint_id in [
             i
@@ -159,7 +161,7 @@
     def _on_connected(self, box: str) -> None:
         """Sends the latest limits to a newly connected box."""
         newest = sorted(
-            self._limits.words.items(), key=lambda item: -item[1].since
+            self._limits.reports.items(), key=lambda item: -item[1].since
         )
         reports = [self.report(i) for i, _ in newest[:MAX_ON_CONNECT]]
         if reports:
@@ -172,7 +174,7 @@
     ) -> None:
         changed = [w.endpoint for w in message.reports() if self.merge(box, w)]
         linked = len(self._peers.boxes()) + 1
-        if message.first_hand and linked < len(self._members.believed()):
+        if message.first_hand and linked < len(self._members.live_members()):
             # Forwards to boxes that the sender may not be connected to. Limits
             # are forwarded only once, as each hop understates their age.
             self._broadcast(changed, False)
--- a/martenjunction/routing/offers.py
+++ b/martenjunction/routing/offers.py
@@ -12,8 +12,8 @@
 from martenjunction.decisions import outcomes
 from martenjunction.decisions.boxes import endpoint_choice
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import repeat_budget
-from martenjunction.decisions.boxes import shedding
+from martenjunction.decisions.boxes import load_shedding
+from martenjunction.decisions.boxes import retry_budget
 from martenjunction.decisions.boxes import tier_precedence
 from martenjunction.endpoints import attempt
 from martenjunction.endpoints import pool
@@ -21,12 +21,12 @@
 from martenjunction.platform import headers
 from martenjunction.routing import admission
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
-from martenjunction.routing import endpoint_ends
+from martenjunction.routing import endpoint_liveness
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import permits
 from martenjunction.routing import rate_grants
 from martenjunction.routing import request_content
-from martenjunction.routing import suspects
+from martenjunction.routing import request_quarantine
 
 # Maximum number of endpoints tried per request, including refusals and failed
 # connections.
@@ -46,12 +46,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tools:
+class ExchangeContext:
     """The objects shared by all exchanges.
 
     Attributes:
         admitter: Admits requests.
-        book: The endpoint registry.
+        registry: The endpoint registry.
         pool: The endpoint connection pool.
         budget: The retry budget.
         deadlines: Distinguishes requests of retrying clients from new ones.
@@ -63,25 +63,25 @@
         stop_limit_s: Seconds after which a planned stop ends the remaining
             requests.
         content_keys: Computes the content keys that identify resent requests.
-        suspects: Quarantines requests that crash endpoints.
-        ends: Checks whether endpoints crashed.
+        quarantine: Quarantines requests that crash endpoints.
+        liveness: Checks whether endpoints crashed.
         grants: Grants requests to endpoints with a rate limit.
         precedence: Decides which tiers go first at those endpoints.
     """
 
     admitter: admission.Admitter
-    book: endpoint_book.EndpointBook
+    registry: endpoint_registry.EndpointRegistry
     pool: pool.EndpointPool
-    budget: repeat_budget.RepeatBudget
-    deadlines: shedding.DeadlineBook
+    budget: retry_budget.RetryBudget
+    deadlines: load_shedding.DeadlineTracker
     log: decision_log.DecisionLog
     metrics: metrics.Metrics
     zone: str
     stopping_for_s: Callable[[], float | None]
     stop_limit_s: float
     content_keys: request_content.ContentKeys
-    suspects: suspects.Suspects
-    ends: endpoint_ends.EndpointEnds
+    quarantine: request_quarantine.RequestQuarantine
+    liveness: endpoint_liveness.EndpointLiveness
     grants: rate_grants.RateGrants
     precedence: tier_precedence.TierPrecedence
 
@@ -98,7 +98,7 @@
         id: The request id.
         received_at: Steady-clock time when the head was complete.
         content: The content key.
-        came_back: Whether this is a retry of a refused request.
+        is_retry: Whether this is a retry of a refused request.
         progress: Whether and how far the request has run.
         offers: Ids of the endpoints tried.
         choices: The inputs of each endpoint selection, for the log.
@@ -116,7 +116,7 @@
     id: str
     received_at: float
     content: request_content.ContentKey
-    came_back: bool = False
+    is_retry: bool = False
     progress: outcomes.RequestProgress = dataclasses.field(
         default_factory=outcomes.RequestProgress
     )
@@ -168,7 +168,7 @@
 
     def __init__(
         self,
-        tools: Tools,
+        context: ExchangeContext,
         admitted: admission.Admission,
         demand: endpoint_records.Demand,
         state: RequestState,
@@ -176,12 +176,12 @@
         """Initializes the selection for an admitted request.
 
         Args:
-            tools: The objects shared by all exchanges.
+            context: The objects shared by all exchanges.
             admitted: The admitted request.
             demand: The resources that it needs.
             state: Its progress.
         """
-        self._tools = tools
+        self._context = context
         self._admitted = admitted
         self._demand = demand
         self._state = state
@@ -212,12 +212,12 @@
             finally:
                 if offer is None:
                     permit.close()
-            if offer is None or permit.stands():
+            if offer is None or permit.is_valid():
                 return offer
             # In the meantime, an endpoint crashed while running this request.
             permit.close()
-            self._tools.grants.put_back(offer.grant)
-            self._tools.pool.release(offer.endpoint.id, offer.run.connection)
+            self._context.grants.refund(offer.grant)
+            self._context.pool.release(offer.endpoint.id, offer.run.connection)
 
     async def _permit(self) -> permits.Permit | None:
         """Returns a permit to send the request; None if it may not run again.
@@ -226,7 +226,7 @@
             RefusalError: If the request may not be sent and never ran.
         """
         try:
-            return await self._tools.suspects.permit(
+            return await self._context.quarantine.permit(
                 self._state.content,
                 self._admitted.service,
                 self._admitted.deadline,
@@ -243,24 +243,24 @@
         excluded = permit.excluded_ids()
         while self._may_offer():
             now = time.monotonic()
-            chosen = self._tools.book.choose(
+            chosen = self._context.registry.choose(
                 self._admitted.service,
                 self._demand,
                 self._avoid | excluded,
                 now,
-                permit.apart,
+                permit.isolated,
             )
             if chosen is None:
                 return None
             endpoint, choice = chosen
             if choice.record.limited and self._should_yield(now):
-                self._avoid.update(self._tools.book.limits.limited())
+                self._avoid.update(self._context.registry.limits.limited())
                 continue
             if not self._state.offers and self._demand.is_engine:
                 self._note_prefill_demand(choice, now)
                 self._shed_if_late(choice, now)
             try:
-                connection = await self._tools.pool.acquire(
+                connection = await self._context.pool.acquire(
                     endpoint, self._admitted.route.repeatable
                 )
             except errors.EndpointBusyError as error:
@@ -270,7 +270,9 @@
             except errors.EndpointNotReachedError:
                 self._state.offers.append(endpoint.id)
                 self._avoid.add(endpoint.id)
-                self._tools.book.note_unreachable(endpoint.id, time.monotonic())
+                self._context.registry.note_unreachable(
+                    endpoint.id, time.monotonic()
+                )
                 continue
             grant = await self._grant(endpoint, connection)
             if grant is None:
@@ -283,7 +285,7 @@
     def _should_yield(self, now: float) -> bool:
         """Returns whether rate-limited endpoints are left to higher tiers."""
         if not self._state.grant_denied:
-            self._state.grant_denied = self._tools.precedence.holds_back(
+            self._state.grant_denied = self._context.precedence.should_yield(
                 self._admitted.service.name, self._admitted.route.tier, now
             )
             return self._state.grant_denied
@@ -295,8 +297,11 @@
         """Records the prefill demand, once per request."""
         if not self._demand_noted:
             self._demand_noted = True
-            self._tools.book.engines.note_asked(
-                self._demand.service, choice.unread, self._demand.is_long, now
+            self._context.registry.engines.note_prefill_demand(
+                self._demand.service,
+                choice.prefill_tokens,
+                self._demand.is_long,
+                now,
             )
 
     async def _grant(
@@ -309,17 +314,17 @@
         """
         grant = None
         try:
-            grant = await self._tools.grants.take(endpoint.id)
+            grant = await self._context.grants.acquire(endpoint.id)
             if grant is None:
                 self._state.grant_denied = True
-            elif self._tools.book.accepts(endpoint.id, time.monotonic()):
+            elif self._context.registry.accepts(endpoint.id, time.monotonic()):
                 return grant
             else:
-                self._tools.grants.put_back(grant)
+                self._context.grants.refund(grant)
         except asyncio.CancelledError:
-            self._tools.pool.release(endpoint.id, connection)
+            self._context.pool.release(endpoint.id, connection)
             raise
-        self._tools.pool.release(endpoint.id, connection)
+        self._context.pool.release(endpoint.id, connection)
         return None
 
     def _may_continue(self) -> bool:
@@ -331,7 +336,7 @@
             < MIN_COPY_AGE_S
         ):
             return False
-        return self._tools.book.accepts(
+        return self._context.registry.accepts(
             self._copy_endpoint.id, time.monotonic()
         )
 
@@ -347,13 +352,15 @@
         now = time.monotonic()
         if self._admitted.deadline - now < MIN_TIME_LEFT_S:
             return None
-        if not self._tools.budget.take(self._admitted.service.name, now):
+        if not self._context.budget.try_acquire(
+            self._admitted.service.name, now
+        ):
             return None
-        choice = self._tools.book.weigh(
+        choice = self._context.registry.evaluate(
             endpoint, self._admitted.service, self._demand, now
         )
         try:
-            connection = await self._tools.pool.acquire(endpoint, False)
+            connection = await self._context.pool.acquire(endpoint, False)
         except errors.EndpointError as error:
             self._state.failure = f"{endpoint.id}: {error}"
             return None
@@ -366,7 +373,7 @@
     def plan_copy(self, offer: Offer) -> headers.CopyPlan | None:
         """Returns where the run's memory is copied to or resumed from."""
         if offer.continues:
-            return headers.CopyPlan(copied_at=offer.endpoint.address)
+            return headers.CopyPlan(copy_from=offer.endpoint.address)
         engine = self._admitted.service.engine
         if (
             engine is None
@@ -380,8 +387,8 @@
             return None
         now = time.monotonic()
         # At a rate-limited endpoint the run would have to wait for a grant.
-        limited = set(self._tools.book.limits.limited())
-        chosen = self._tools.book.choose(
+        limited = set(self._context.registry.limits.limited())
+        chosen = self._context.registry.choose(
             self._admitted.service, self._demand, self._avoid | limited, now
         )
         if chosen is None:
@@ -399,21 +406,21 @@
         Raises:
             RefusalError: If the request is shed; nothing was sent.
         """
-        if self._tools.book.serves_lower_tiers(
+        if self._context.registry.serves_lower_tiers(
             self._admitted.service, self._demand.urgency, now
         ):
             # Endpoints serve it before the lower tiers, so it is not shed
             # while those are admitted.
             return
-        prospect = shedding.Prospect(
+        prospect = load_shedding.AdmissionForecast(
             choice.predicted_s + now - self._state.received_at,
             self._admitted.route.target_s,
-            self._state.came_back,
+            self._state.is_retry,
             choice.busy,
         )
-        pause = shedding.retry_after_s(prospect)
+        pause = load_shedding.retry_after_s(prospect)
         if pause is not None:
-            self._state.choices.append(endpoint_book.describe(choice))
+            self._state.choices.append(endpoint_registry.describe(choice))
             raise admission.RefusalError(
                 503, "shed", "the predicted latency exceeds the target", pause
             )
@@ -428,7 +435,7 @@
             return False
         if runs and not self._admitted.route.repeatable:
             return False
-        if not self._tools.admitter.still_allowed(
+        if not self._context.admitter.still_allowed(
             self._admitted, self._state.received_at, time.monotonic()
         ):
             self._state.failure = "no-longer-allowed"
@@ -438,7 +445,7 @@
         if not self._repeat_granted:
             # Charged once per retry that is sent, however many endpoints
             # were unavailable before it.
-            self._repeat_granted = self._tools.budget.take(
+            self._repeat_granted = self._context.budget.try_acquire(
                 self._admitted.service.name, time.monotonic()
             )
         return self._repeat_granted
--- a/martenjunction/routing/peer_messages.py
+++ b/martenjunction/routing/peer_messages.py
@@ -20,7 +20,7 @@
             newest; -1 if it never was. A hint only, as the message may have
             been delayed.
         link_kb: Bandwidth of its link in kilobytes per second.
-        tells_loads: Whether the fields from `endpoints` to `sent` are set.
+        has_loads: Whether the fields from `endpoints` to `sent` are set.
         endpoints: Ids of the endpoints where it has requests in flight; an
             endpoint appears once for each kind of request.
         urgencies: The urgency of those requests.
@@ -36,9 +36,9 @@
         prefill_token_interval_us: Time per streamed token in microseconds
             while prompts are prefilled concurrently; 0 if there are too few
             samples.
-        short_asked: Prefill demand of its requests with short prompts, in
+        short_demand: Prefill demand of its requests with short prompts, in
             tokens per second.
-        long_asked: Prefill demand of its requests with long prompts, in tokens
+        long_demand: Prefill demand of its requests with long prompts, in tokens
             per second.
     """
 
@@ -48,7 +48,7 @@
     reads: bool
     age_ms: int
     link_kb: int
-    tells_loads: bool
+    has_loads: bool
     endpoints: tuple[str, ...]
     urgencies: tuple[int, ...]
     long: tuple[bool, ...]
@@ -59,8 +59,8 @@
     engine_services: tuple[str, ...]
     prefill_rates: tuple[int, ...]
     prefill_token_interval_us: tuple[int, ...]
-    short_asked: tuple[int, ...]
-    long_asked: tuple[int, ...]
+    short_demand: tuple[int, ...]
+    long_demand: tuple[int, ...]
 
     def after(self, older: "BoxStatus") -> "BoxStatus":
         """Returns this status merged with an earlier one that was not sent.
@@ -68,12 +68,12 @@
         Args:
             older: The earlier status; fields that only it sets are kept.
         """
-        if not older.tells_loads:
+        if not older.has_loads:
             return self
-        if not self.tells_loads:
+        if not self.has_loads:
             return dataclasses.replace(
                 self,
-                tells_loads=True,
+                has_loads=True,
                 endpoints=older.endpoints,
                 urgencies=older.urgencies,
                 long=older.long,
@@ -152,7 +152,7 @@
 
 @codec.message("config-news", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
-class ConfigNews:
+class ConfigUpdate:
     """A configuration that is in force at the sender.
 
     Attributes:
@@ -170,7 +170,7 @@
 
 @codec.message("endpoints-left", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
-class EndpointsLeft:
+class EndpointsRemoved:
     """Endpoints that are no longer available according to the store.
 
     Attributes:
@@ -295,7 +295,7 @@
 
 @codec.message("suspects", urgent=True)
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspects:
+class SuspectRecords:
     """Records of suspected requests, during which endpoints crashed.
 
     See `decisions.boxes.suspicion`; the fields have an item for each request.
@@ -340,7 +340,7 @@
     """
 
     number: int
-    suspect: Suspects
+    suspect: SuspectRecords
     builds: tuple[str, ...]
     hops: int
 
@@ -360,7 +360,7 @@
     number: int
     granted: bool
     wait_ms: int
-    suspect: Suspects
+    suspect: SuspectRecords
 
 
 @codec.message("trial-over", urgent=True)
--- a/martenjunction/routing/peer_sync.py
+++ b/martenjunction/routing/peer_sync.py
@@ -6,18 +6,18 @@
 from martenjunction import errors
 from martenjunction import revisions
 from martenjunction import timers
-from martenjunction.decisions.boxes import key_freshness
-from martenjunction.decisions.boxes import peer_questions
+from martenjunction.decisions.boxes import config_freshness
+from martenjunction.decisions.boxes import peer_queries
 from martenjunction.decisions.boxes import store_readers
 from martenjunction.peers import codec
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 from martenjunction.peers import messages
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import follower
 from martenjunction.routing import peer_messages
-from martenjunction.routing import picture
+from martenjunction.routing import store_cache
 
 # Interval in seconds at which a box that does not read from the store queries
 # the most up-to-date peer.
@@ -37,7 +37,7 @@
 # Seconds without a message after which a connection is closed. A box is
 # considered silent long before; a new connection costs both sides two
 # handshakes, which an overloaded box can afford least.
-LINK_SILENCE_S = 3.0
+LINK_SILENCE_TIMEOUT_S = 3.0
 
 # Interval in seconds between load reports while this box has load at endpoints.
 LOADS_INTERVAL_S = 0.2
@@ -77,9 +77,9 @@
         self,
         peers: hub.PeerHub,
         members: membership.Membership,
-        cache: picture.Picture,
-        freshness: key_freshness.ConfigFreshness,
-        book: endpoint_book.EndpointBook,
+        cache: store_cache.StoreCache,
+        freshness: config_freshness.ConfigFreshness,
+        book: endpoint_registry.EndpointRegistry,
         clock: timers.Timers,
         log: decision_log.DecisionLog,
         is_ready: Callable[[], bool],
@@ -117,7 +117,7 @@
         self._conflicting_version: int | None = None
         self._reported_sent: set[tuple[str, int]] = set()
         self._statuses: dict[str, _ReceivedStatus] = {}
-        self._queries = peer_questions.PeerQuestions()
+        self._queries = peer_queries.PeerQueries()
         self._loads_due = 0.0
         self._reported_load = False
 
@@ -126,8 +126,10 @@
         self._peers.subscribe(peer_messages.BoxStatus, self._on_status)
         self._peers.subscribe(peer_messages.AskView, self._on_ask)
         self._peers.subscribe(peer_messages.View, self._on_view)
-        self._peers.subscribe(peer_messages.ConfigNews, self._on_config_update)
-        self._peers.subscribe(peer_messages.EndpointsLeft, self._on_removed)
+        self._peers.subscribe(
+            peer_messages.ConfigUpdate, self._on_config_update
+        )
+        self._peers.subscribe(peer_messages.EndpointsRemoved, self._on_removed)
         self._peers.subscribe(messages.Leaving, self._on_leaving)
         self._cache.on_endpoints_removed(self._broadcast_removed)
         self._timers.subscribe(
@@ -143,7 +145,7 @@
     def _status(
         self,
         tells_loads: bool,
-        loads: list[endpoint_book.LoadRow],
+        loads: list[endpoint_registry.LoadRow],
         sent: list[tuple[str, int]],
     ) -> peer_messages.BoxStatus:
         engines = self._book.engines.rows(self._timers.now())
@@ -151,7 +153,7 @@
             self._is_ready(),
             self._cache.version,
             self._book.listed.revision,
-            self._reader.answered,
+            self._reader.is_synced,
             self._age_ms(),
             self._link_kb,
             tells_loads,
@@ -182,21 +184,23 @@
         """Returns the other boxes that accept clients."""
         return [
             member
-            for member in self._members.believed()
+            for member in self._members.live_members()
             if self._is_responsive(member)
             and self._statuses[member.box].status.ready
         ]
 
-    def heard(self) -> list[membership.Member]:
+    def responsive_peers(self) -> list[membership.Member]:
         """Returns the live peers from which a recent status was received."""
-        return [m for m in self._members.believed() if self._is_responsive(m)]
+        return [
+            m for m in self._members.live_members() if self._is_responsive(m)
+        ]
 
     def _on_status(self, box: str, status: peer_messages.BoxStatus) -> None:
         now = self._timers.now()
         self._statuses[box] = _ReceivedStatus(
-            now, self._timers.listened(), status
+            now, self._timers.stall_adjusted_now(), status
         )
-        self._members.heard(box, 0.0)
+        self._members.record_heartbeat(box, 0.0)
         self._reader.update_era(status.revision.era)
         behind = self._note_version(status.version, box)
         if behind or status.revision > self._book.listed.revision:
@@ -205,12 +209,12 @@
             status.engine_services,
             status.prefill_rates,
             status.prefill_token_interval_us,
-            status.short_asked,
-            status.long_asked,
+            status.short_demand,
+            status.long_demand,
             strict=False,
         )
-        self._book.engines.take_peer(box, engines, now)
-        if not status.tells_loads:
+        self._book.engines.update_peer(box, engines, now)
+        if not status.has_loads:
             return
         loads = zip(
             status.endpoints,
@@ -220,15 +224,15 @@
             status.unread,
             strict=False,
         )
-        self._book.take_peer_loads(box, list(loads), now)
+        self._book.update_peer_loads(box, list(loads), now)
         sent = zip(status.engines, status.sent, strict=False)
-        self._book.take_peer_sent(box, list(sent), now)
+        self._book.update_peer_sent(box, list(sent), now)
 
     def _note_version(self, version: int, box: str) -> bool:
         """Records a peer's version; returns whether it is newer than ours."""
         if version <= self._cache.version:
             return False
-        if self._freshness.heard_of(version, self._timers.now()):
+        if self._freshness.note_newer_version(version, self._timers.now()):
             self._log.write(
                 "config-behind",
                 version=self._cache.version,
@@ -238,7 +242,7 @@
         return True
 
     def _on_config_update(
-        self, box: str, update: peer_messages.ConfigNews
+        self, box: str, update: peer_messages.ConfigUpdate
     ) -> None:
         """Applies a configuration update, which any peer may send unasked."""
         if not self._note_version(update.version, box):
@@ -246,7 +250,7 @@
         try:
             spec = self._cache.documents.apply(update)
             if spec is not None:
-                self._cache.take_newer_config(spec, box)
+                self._cache.apply_newer_config(spec, box)
                 return
         except (errors.PeerError, errors.PlatformError) as error:
             # A request with the local version would return the same delta.
@@ -255,17 +259,19 @@
         self._query(box)
 
     def _on_leaving(self, box: str, message: messages.Leaving) -> None:
-        if self._members.leaving(message.box, message.incarnation):
+        if self._members.mark_leaving(message.box, message.incarnation):
             self._log.write("box-leaves", leaving=message.box, told_by=box)
 
     def _on_removed(
-        self, box: str, message: peer_messages.EndpointsLeft
+        self, box: str, message: peer_messages.EndpointsRemoved
     ) -> None:
-        self._cache.take_left(message.ids, message.revision)
+        self._cache.apply_removals(message.ids, message.revision)
 
     def _broadcast_removed(self, ids: list[str]) -> None:
         self._peers.broadcast(
-            peer_messages.EndpointsLeft(tuple(ids), self._book.listed.revision)
+            peer_messages.EndpointsRemoved(
+                tuple(ids), self._book.listed.revision
+            )
         )
 
     def _broadcast_loads(self) -> None:
@@ -294,18 +300,20 @@
     def _update_role(self) -> None:
         """Starts or stops reading the store and announces changes at once."""
         now = self._timers.now()
-        self._freshness.nobody_has(above=self._newest_reported_version())
+        self._freshness.drop_versions_above(
+            above=self._newest_reported_version()
+        )
         reads = self._role.decide(
             self._group(now), self._freshness.age_s(now), now
         )
-        self._reader.read(reads, self._role.first)
-        self._book.scale_loads(self._load_scale())
+        self._reader.read(reads, self._role.is_first)
+        self._book.set_load_scale(self._load_scale())
         state = (
-            self._reader.answered,
+            self._reader.is_synced,
             self._cache.version,
             self._book.listed.revision,
         )
-        if self._reader.answered and state != self._announced_state:
+        if self._reader.is_synced and state != self._announced_state:
             if self._announced_state[1] not in (0, self._cache.version):
                 self._push_config()
             self.announce()
@@ -318,7 +326,7 @@
         from a box of the same group is not pushed, as that box did so already.
         """
         update = self._cache.documents.latest_update()
-        near = {member.box for member in self._members.near()}
+        near = {member.box for member in self._members.monitored_peers()}
         if update is None or self._cache.config_source in near:
             return
         for box in self._peers.boxes():
@@ -328,7 +336,7 @@
 
     def _newest_reported_version(self) -> int:
         """Returns the newest version reported by a box with a valid status."""
-        listened = self._timers.listened()
+        listened = self._timers.stall_adjusted_now()
         return max(
             (
                 received.status.version
@@ -338,13 +346,13 @@
             default=0,
         )
 
-    def _group(self, now: float) -> list[store_readers.PeerAge]:
+    def _group(self, now: float) -> list[store_readers.PeerReaderState]:
         """Returns the other boxes of the group that elects a reader."""
-        return self._ages(self._members.near(), now)
+        return self._ages(self._members.monitored_peers(), now)
 
     def _ages(
         self, members: list[membership.Member], now: float
-    ) -> list[store_readers.PeerAge]:
+    ) -> list[store_readers.PeerReaderState]:
         return [
             self._peer_age(member.box, now)
             for member in members
@@ -358,22 +366,25 @@
         availability zones. It assumes the same average load for the others.
         """
         heard = len(self._peers.boxes()) + 1
-        return max(1.0, len(self._members.believed()) / heard)
+        return max(1.0, len(self._members.live_members()) / heard)
 
     def _is_responsive(self, member: membership.Member) -> bool:
         received = self._statuses.get(member.box)
         if received is None:
             return False
-        if self._timers.listened() - received.listened_at > STATUS_LIFETIME_S:
+        if (
+            self._timers.stall_adjusted_now() - received.listened_at
+            > STATUS_LIFETIME_S
+        ):
             return False
-        return self._peers.reachable(member.box)
+        return self._peers.is_connected(member.box)
 
-    def _peer_age(self, box: str, now: float) -> store_readers.PeerAge:
+    def _peer_age(self, box: str, now: float) -> store_readers.PeerReaderState:
         received = self._statuses[box]
         age = None
         if received.status.age_ms != NEVER_CONFIRMED:
             age = received.status.age_ms * MS + now - received.received_at
-        return store_readers.PeerAge(
+        return store_readers.PeerReaderState(
             box, received.status.reads, age, received.status.link_kb
         )
 
@@ -381,13 +392,13 @@
         """Queries the most up-to-date peer, preferring those that answer."""
         now = self._timers.now()
         age = self._freshness.age_s(now)
-        if self._reader.answered:
+        if self._reader.is_synced:
             return
         group = self._group(now)
         if age is None or age > QUERY_ALL_AFTER_S:
-            group = self._ages(self._members.believed(), now)
+            group = self._ages(self._members.live_members(), now)
         known = [p for p in group if p.age_s is not None]
-        unresponsive = self._queries.unanswered_by(now)
+        unresponsive = self._queries.unresponsive_peers(now)
         if known:
             best = min(
                 known, key=lambda p: (p.box in unresponsive, *_query_order(p))
@@ -400,7 +411,7 @@
 
     def _query(self, box: str) -> None:
         """Queries a peer, unless too many queries are in flight."""
-        number = self._queries.ask(box, self._timers.now())
+        number = self._queries.begin_query(box, self._timers.now())
         if number is None:
             return
         conflicting = self._conflicting_version == self._cache.version
@@ -416,7 +427,7 @@
             ),
         )
         if not sent:
-            self._queries.lost(box)
+            self._queries.drop_peer(box)
 
     def _on_ask(self, box: str, ask: peer_messages.AskView) -> None:
         listed = self._book.listed
@@ -450,7 +461,7 @@
         )
 
     def _on_view(self, box: str, view: peer_messages.View) -> None:
-        asked_at = self._queries.answered(view.number)
+        asked_at = self._queries.complete_query(view.number)
         same = view.version == self._cache.version
         if asked_at is not None and view.age_ms >= 0 and same:
             self._freshness.confirm(asked_at - view.age_ms * MS)
@@ -462,6 +473,6 @@
         )
 
 
-def _query_order(peer: store_readers.PeerAge) -> tuple[bool, float]:
+def _query_order(peer: store_readers.PeerReaderState) -> tuple[bool, float]:
     """Returns the sort key by which a peer to query is selected."""
-    return not peer.reads, peer.age_s or 0.0
+    return not peer.is_reader, peer.age_s or 0.0
--- a/martenjunction/routing/permits.py
+++ b/martenjunction/routing/permits.py
@@ -15,16 +15,18 @@
     def listed(self) -> endpoint_list.EndpointList:
         """The endpoint list; read-only."""
 
-    def stands(self, permit: "Permit") -> bool:
+    def is_valid(self, permit: "Permit") -> bool:
         """Returns whether a permit is still valid."""
 
-    def note_answer(self, permit: "Permit") -> None:
+    def record_answer(self, permit: "Permit") -> None:
         """Records that a run received a complete response."""
 
-    def note_unsure(self, permit: "Permit", endpoint: model.Endpoint) -> None:
+    def note_unconfirmed_end(
+        self, permit: "Permit", endpoint: model.Endpoint
+    ) -> None:
         """Records that a run broke off and its endpoint may have crashed."""
 
-    def note_end(self, permit: "Permit", endpoint: model.Endpoint) -> None:
+    def record_crash(self, permit: "Permit", endpoint: model.Endpoint) -> None:
         """Records that an endpoint crashed during a run."""
 
     def end_trial(self, permit: "Permit") -> None:
@@ -39,7 +41,7 @@
         issuer: "PermitIssuer",
         key: request_content.ContentKey,
         service: model.Service,
-        ruling: suspect_table.Ruling,
+        ruling: suspect_table.SuspectDecision,
     ) -> None:
         """Initializes the permit.
 
@@ -63,13 +65,13 @@
         return not (self._result_known or self._broken or self._closed)
 
     @property
-    def apart(self) -> bool:
+    def isolated(self) -> bool:
         """Whether the endpoint with the fewest runs is preferred."""
         return self.ruling.verdict is suspect_table.Verdict.ALONE
 
-    def stands(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns whether the permit is still valid."""
-        return self._issuer.stands(self)
+        return self._issuer.is_valid(self)
 
     def excluded_ids(self) -> set[str]:
         """Returns the ids of endpoints that must not run the request."""
@@ -77,24 +79,26 @@
         if not builds:
             return set()
         ready = self._issuer.listed.ready(self.service.name)
-        return {e.id for e in ready if model.build(e, self.service) in builds}
+        return {
+            e.id for e in ready if model.build_id(e, self.service) in builds
+        }
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Records a complete response: the endpoint did not crash."""
         if not self._result_known:
             self._result_known = True
-            self._issuer.note_answer(self)
+            self._issuer.record_answer(self)
 
-    def broken(self, endpoint: model.Endpoint) -> None:
+    def record_broken_run(self, endpoint: model.Endpoint) -> None:
         """Records that the run broke off and the endpoint may have crashed."""
         self._broken = True
-        self._issuer.note_unsure(self, endpoint)
+        self._issuer.note_unconfirmed_end(self, endpoint)
 
-    def ended(self, endpoint: model.Endpoint) -> None:
+    def record_crash(self, endpoint: model.Endpoint) -> None:
         """Records that the endpoint crashed during the run."""
         if not self._result_known:
             self._result_known = True
-            self._issuer.note_end(self, endpoint)
+            self._issuer.record_crash(self, endpoint)
 
     def close(self) -> None:
         """Records that the run is over, whatever its result.
@@ -104,5 +108,5 @@
         could crash a second endpoint.
         """
         self._closed = True
-        if self.apart and not self._result_known and not self._broken:
+        if self.isolated and not self._result_known and not self._broken:
             self._issuer.end_trial(self)
--- a/martenjunction/routing/prober.py
+++ b/martenjunction/routing/prober.py
@@ -8,7 +8,7 @@
 from martenjunction.endpoints import pool
 from martenjunction.platform import notices
 from martenjunction.routing import admission
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import rate_grants
 
 # Interval, in seconds, at which ejected endpoints are checked.
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        book: endpoint_book.EndpointBook,
+        book: endpoint_registry.EndpointRegistry,
         connections: pool.EndpointPool,
         admitter: admission.Admitter,
         gate: rate_grants.RateGrants,
@@ -71,7 +71,7 @@
     async def _probe(self, endpoint: model.Endpoint, path: str) -> None:
         try:
             # A health check counts towards the rate limit like any request.
-            if await self._gate.take(endpoint.id) is None:
+            if await self._gate.acquire(endpoint.id) is None:
                 return
             healthy = await self._ask(endpoint, path)
             self._book.note_probe_result(
@@ -87,7 +87,7 @@
         except errors.EndpointError:
             return False
         try:
-            async with connection.answer_within(PROBE_TIMEOUT_S):
+            async with connection.response_timeout(PROBE_TIMEOUT_S):
                 host = (b"Host", endpoint.address.encode())
                 connection.send(b"GET", path.encode(), [host], b"")
                 head = await connection.read_head()
@@ -95,7 +95,7 @@
                     pass
             connection.finish()
             # Another endpoint that took over its address may be healthy.
-            is_same = not notices.is_of_another(head, endpoint.entry)
+            is_same = not notices.is_from_other_endpoint(head, endpoint.entry)
             return head.status == 200 and is_same
         except (errors.TransportError, TimeoutError):
             connection.abort()
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -9,7 +9,7 @@
 from martenjunction.decisions import grant_bucket
 from martenjunction.peers import hub
 from martenjunction.peers import membership
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import holders
 from martenjunction.routing import limit_sync
 from martenjunction.routing import peer_messages
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        book: endpoint_book.EndpointBook,
+        book: endpoint_registry.EndpointRegistry,
         sync: limit_sync.LimitSync,
         peers: hub.PeerHub,
         members: membership.Membership,
@@ -102,7 +102,7 @@
         return self._denied
 
     @property
-    def given(self) -> int:
+    def granted(self) -> int:
         """Number of requests granted by this box, for itself and others."""
         return self._granted
 
@@ -133,7 +133,7 @@
             for endpoint_id in self._limits.limited()
         }
 
-    async def take(self, endpoint_id: str) -> RateGrant | None:
+    async def acquire(self, endpoint_id: str) -> RateGrant | None:
         """Acquires a grant; to be called right before a request is sent.
 
         Args:
@@ -152,13 +152,13 @@
             wait_s = self._grant(endpoint_id)
         else:
             wait_s = await self._ask(holder, endpoint_id)
-        self._limits.close(endpoint_id, self._timers.now() + wait_s)
+        self._limits.block_until(endpoint_id, self._timers.now() + wait_s)
         if wait_s:
             self._denied += 1
             return None
         return RateGrant(endpoint_id, holder)
 
-    def put_back(self, grant: RateGrant) -> None:
+    def refund(self, grant: RateGrant) -> None:
         """Returns an unused grant, as its request was not sent."""
         if grant.granter == self._selector.own_box:
             self._refund(grant.endpoint_id)
@@ -192,7 +192,7 @@
     def _refund(self, endpoint_id: str) -> None:
         bucket = self._buckets.get(endpoint_id)
         if bucket is not None:
-            bucket.grants.put_back()
+            bucket.grants.refund()
 
     async def _ask(self, holder: str, endpoint_id: str) -> float:
         """Requests a grant from another box; returns the same as `_grant`."""
@@ -203,7 +203,9 @@
         self._pending[number] = response
         # Only one grant request is in flight per endpoint; meanwhile other
         # requests of this box are sent to other endpoints.
-        self._limits.close(endpoint_id, self._timers.now() + ANSWER_LIMIT_S)
+        self._limits.block_until(
+            endpoint_id, self._timers.now() + ANSWER_LIMIT_S
+        )
         message = peer_messages.AskGrant(
             number, self._limit_sync.report(endpoint_id), 0
         )
--- a/martenjunction/routing/request_account.py
+++ b/martenjunction/routing/request_account.py
@@ -8,7 +8,7 @@
 
 
 def record_result(
-    tools: offers.Tools,
+    context: offers.ExchangeContext,
     state: offers.RequestState,
     route: model.Route | None,
     result: str,
@@ -17,7 +17,7 @@
     """Counts a request and writes its log line.
 
     Args:
-        tools: The objects shared by all exchanges.
+        context: The objects shared by all exchanges.
         state: The progress of the request.
         route: The route, or None if the request was not admitted.
         result: The status sent to the client, or why none was sent.
@@ -25,17 +25,17 @@
     """
     duration_s = time.monotonic() - state.received_at
     kind = "none" if route is None else route.kind.value
-    tools.metrics.count("requests", kind=kind, result=result)
-    tools.metrics.observe("request_s", duration_s, kind=kind)
+    context.metrics.count("requests", kind=kind, result=result)
+    context.metrics.observe("request_s", duration_s, kind=kind)
     served = state.progress.outcome is outcomes.Outcome.DONE
-    tools.log.write(
+    context.log.write(
         "request" if served else "request-failed",
         id=state.id,
         route="" if route is None else route.name,
         result=result,
         outcome=state.progress.outcome.value,
         why=state.failure,
-        came_back=state.came_back,
+        came_back=state.is_retry,
         endpoints=state.offers,
         content=str(state.content),
         ms=round(duration_s * 1000, 1),
--- a/martenjunction/routing/request_content.py
+++ b/martenjunction/routing/request_content.py
@@ -46,7 +46,7 @@
         self._seed = xxhash.xxh3_64_intdigest(fleet_key.encode())
 
     def key(
-        self, request: messages.Request, facts: headers.RequestFacts
+        self, request: messages.Request, facts: headers.RequestMetadata
     ) -> ContentKey:
         """Returns the content key of a complete request.
 
--- a/martenjunction/routing/suspects.py
+++ b/martenjunction/routing/request_quarantine.py
@@ -17,7 +17,7 @@
 from martenjunction.peers import membership
 from martenjunction.routing import admission
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_ends
+from martenjunction.routing import endpoint_liveness
 from martenjunction.routing import holders
 from martenjunction.routing import permits
 from martenjunction.routing import request_content
@@ -57,7 +57,7 @@
     at: float
 
 
-class Suspects:
+class RequestQuarantine:
     """Decides which requests one box may send after crashes of endpoints.
 
     A request during which an endpoint crashed is suspected: usually only one
@@ -68,7 +68,7 @@
     def __init__(
         self,
         listed: endpoint_list.EndpointList,
-        ends: endpoint_ends.EndpointEnds,
+        ends: endpoint_liveness.EndpointLiveness,
         peers: hub.PeerHub,
         members: membership.Membership,
         clock: timers.Timers,
@@ -159,21 +159,21 @@
         until = began + (deadline - began) * MAX_WAIT_FRACTION
         while True:
             builds = self._ready_builds(service, key)
-            ruling = self._table.judge(key, builds, self._timers.now())
+            ruling = self._table.decide(key, builds, self._timers.now())
             if ruling.verdict is suspect_table.Verdict.QUARANTINED:
-                self._refuse(ruling.again_s)
+                self._refuse(ruling.recheck_after_s)
             if ruling.verdict is suspect_table.Verdict.FREE:
                 return permits.Permit(self, key, service, ruling)
-            wait_s = ruling.again_s
+            wait_s = ruling.recheck_after_s
             if ruling.verdict is suspect_table.Verdict.ALONE:
                 answer = await self._trials.ask(key, builds)
                 permit = self._trial_permit(key, service, ruling)
-                if answer.granted and permit.stands():
-                    began_at = self._timers.listened()
+                if answer.granted and permit.is_valid():
+                    began_at = self._timers.stall_adjusted_now()
                     self._running_trials.append((began_at, permit))
                     return permit
                 now = self._timers.now()
-                if self._table.judge(key, builds, now).verdict is not (
+                if self._table.decide(key, builds, now).verdict is not (
                     ruling.verdict
                 ):
                     continue
@@ -181,7 +181,7 @@
             now = self._timers.now()
             left_s = until - now
             if left_s <= 0.0:
-                final_ruling = self._table.ruling_after_wait(key, now)
+                final_ruling = self._table.decide_after_wait(key, now)
                 if final_ruling is None:
                     self._refuse(wait_s)
                 return permits.Permit(self, key, service, final_ruling)
@@ -191,45 +191,47 @@
         self,
         key: request_content.ContentKey,
         service: model.Service,
-        ruling: suspect_table.Ruling,
+        ruling: suspect_table.SuspectDecision,
     ) -> permits.Permit:
         """Returns a permit for the latest trial of a request."""
         suspect = self._table.find(key)
-        trial = 0 if suspect is None else suspect.held.tries
+        trial = 0 if suspect is None else suspect.evidence.trials
         trial_ruling = dataclasses.replace(ruling, trial=trial)
         return permits.Permit(self, key, service, trial_ruling)
 
-    def stands(self, permit: permits.Permit) -> bool:
+    def is_valid(self, permit: permits.Permit) -> bool:
         """Returns whether no crash was recorded since a permit was issued."""
         suspect = self._table.find(permit.key)
         if suspect is None:
             return True
-        ruling, held = permit.ruling, suspect.held
+        ruling, held = permit.ruling, suspect.evidence
         if held.epoch != ruling.epoch:
             return not held.generation
         return held.generation < ruling.generation
 
-    def note_answer(self, permit: permits.Permit) -> None:
+    def record_answer(self, permit: permits.Permit) -> None:
         """Records that an endpoint answered a run completely."""
         now = self._timers.now()
-        cleared = self._table.note_answer(permit.key, permit.service.name, now)
+        cleared = self._table.record_answer(
+            permit.key, permit.service.name, now
+        )
         if cleared is not None:
             self._log.write(
                 "request-cleared", content=str(permit.key), why="answered"
             )
             self._announce(cleared)
 
-    def note_end(
+    def record_crash(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
         """Records that an endpoint crashed during a run."""
         now = self._timers.now()
-        changed = self._table.note_end(
+        changed = self._table.record_crash(
             permit.key,
             permit.service.name,
             endpoint.id,
             permit.ruling,
-            model.build(endpoint, permit.service),
+            model.build_id(endpoint, permit.service),
             now,
         )
         if changed is not None:
@@ -238,7 +240,7 @@
             )
             self._announce(changed)
 
-    def note_unsure(
+    def note_unconfirmed_end(
         self, permit: permits.Permit, endpoint: model.Endpoint
     ) -> None:
         """Records that a run broke off and its endpoint may have crashed."""
@@ -275,9 +277,9 @@
         """Returns the records of all suspected requests."""
         now = self._timers.now()
         return [
-            _describe(suspect, self._table.ends_needed(suspect, now))
+            _describe(suspect, self._table.crashes_needed(suspect, now))
             for suspect in self._table
-            if suspect.held.generation
+            if suspect.evidence.generation
         ]
 
     def _decide_trial(
@@ -285,11 +287,11 @@
     ) -> trial_grants.TrialRuling:
         """Decides, as the holder of a request, whether a trial may begin."""
         now = self._timers.now()
-        ruling = self._table.judge(key, builds, now)
+        ruling = self._table.decide(key, builds, now)
         if ruling.verdict is suspect_table.Verdict.FREE:
             return trial_grants.TrialRuling(True)
         if ruling.verdict is not suspect_table.Verdict.ALONE:
-            return trial_grants.TrialRuling(False, ruling.again_s)
+            return trial_grants.TrialRuling(False, ruling.recheck_after_s)
         suspect = self._table.begin_trial(key, now)
         if suspect is not None:
             self._log_suspect("request-tried", suspect)
@@ -314,10 +316,12 @@
     ) -> frozenset[str]:
         """Returns a service's ready builds; empty unless quarantined."""
         suspect = self._table.find(key)
-        if suspect is None or not suspect.held.quarantined:
+        if suspect is None or not suspect.evidence.quarantined:
             return frozenset()
         ready = self._listed.ready(service.name)
-        return frozenset(model.build(endpoint, service) for endpoint in ready)
+        return frozenset(
+            model.build_id(endpoint, service) for endpoint in ready
+        )
 
     async def _wait(
         self, key: request_content.ContentKey, wait_s: float
@@ -352,9 +356,9 @@
         held: suspicion.Suspicion,
     ) -> suspect_table.Suspect | None:
         """Merges another box's record; returns the result if it changed."""
-        changed = self._table.take(key, held, self._timers.now())
+        changed = self._table.merge_peer(key, held, self._timers.now())
         if changed is not None:
-            cleared = not changed.held.generation
+            cleared = not changed.evidence.generation
             kind = "request-cleared" if cleared else "request-suspected"
             self._log_suspect(kind, changed, told_by=box)
             self._wake(key)
@@ -365,7 +369,7 @@
         for run in list(self._unconfirmed):
             if run.endpoint.id == endpoint_id:
                 self._unconfirmed.remove(run)
-                run.permit.ended(run.endpoint)
+                run.permit.record_crash(run.endpoint)
 
     def _check(self) -> None:
         now = self._timers.now()
@@ -378,15 +382,15 @@
             if self._listed.restarted(run.endpoint.id):
                 self._confirm_crash(run.endpoint.id)
         self._report_outlived_trials()
-        self._table.forget(now)
-        self._sync.pass_on()
+        self._table.expire(now)
+        self._sync.forward_pending()
 
     def _report_outlived_trials(self) -> None:
         """Notifies all boxes of trials still running after `OUTLIVED_S`.
 
         Time during which the event loop is blocked does not count.
         """
-        now = self._timers.listened()
+        now = self._timers.stall_adjusted_now()
         running_trials = self._running_trials
         self._running_trials = []
         for began_at, permit in running_trials:
@@ -395,7 +399,9 @@
             if now - began_at < suspect_table.OUTLIVED_S:
                 self._running_trials.append((began_at, permit))
                 continue
-            suspect = self._table.note_outlived(permit.key, permit.ruling.epoch)
+            suspect = self._table.record_outlived(
+                permit.key, permit.ruling.epoch
+            )
             if suspect is not None:
                 self._log_suspect("request-outlived", suspect)
                 self._announce(suspect)
@@ -403,19 +409,19 @@
     def _log_suspect(
         self, kind: str, suspect: suspect_table.Suspect, **fields: Any
     ) -> None:
-        needed = self._table.ends_needed(suspect, self._timers.now())
+        needed = self._table.crashes_needed(suspect, self._timers.now())
         self._log.write(kind, **_describe(suspect, needed), **fields)
 
 
 def _describe(suspect: suspect_table.Suspect, needed: int) -> dict[str, Any]:
-    held = suspect.held
+    held = suspect.evidence
     return {
         "content": str(suspect.key),
         "service": held.service,
-        "ends": dict(held.ends),
+        "ends": dict(held.crashes),
         "in_a_row": held.generation,
         "needed": needed,
         "quarantined": held.quarantined,
-        "tries": held.tries,
+        "tries": held.trials,
         "epoch": held.epoch,
     }
--- a/martenjunction/routing/service_engines.py
+++ b/martenjunction/routing/service_engines.py
@@ -4,8 +4,8 @@
 import dataclasses
 import math
 
-from martenjunction.decisions.boxes import engine_figures
-from martenjunction.decisions.boxes import reading_demand
+from martenjunction.decisions.boxes import engine_profiles
+from martenjunction.decisions.boxes import prefill_demand
 from martenjunction.routing import decision_log
 
 MICROSECOND_S = 0.000001
@@ -16,7 +16,7 @@
 # through this box by requests with short and with long prompts.
 EngineRow = tuple[str, int, int, int, int]
 
-_NO_FIGURES = engine_figures.LearntFigures()
+_NO_FIGURES = engine_profiles.ProfileEstimate()
 
 
 @dataclasses.dataclass(slots=True)
@@ -29,13 +29,13 @@
         logged: The profile last written to the log.
     """
 
-    learner: engine_figures.FiguresLearner = dataclasses.field(
-        default_factory=engine_figures.FiguresLearner
+    learner: engine_profiles.ProfileEstimator = dataclasses.field(
+        default_factory=engine_profiles.ProfileEstimator
     )
-    demand: reading_demand.ReadingDemand = dataclasses.field(
-        default_factory=reading_demand.ReadingDemand
+    demand: prefill_demand.PrefillDemand = dataclasses.field(
+        default_factory=prefill_demand.PrefillDemand
     )
-    logged: engine_figures.EngineFigures = engine_figures.EngineFigures()
+    logged: engine_profiles.EngineProfile = engine_profiles.EngineProfile()
 
 
 class ServiceEngines:
@@ -50,61 +50,65 @@
         self._log = log
         self._services: dict[str, _EngineData] = {}
 
-    def figures(self, service: str) -> engine_figures.EngineFigures:
+    def profile(self, service: str) -> engine_profiles.EngineProfile:
         """Returns the learned profile of the engines of a service."""
-        return self._service(service).learner.figures
+        return self._service(service).learner.profile
 
-    def asked(self, service: str, now: float) -> reading_demand.ReadingRates:
+    def prefill_demand(
+        self, service: str, now: float
+    ) -> prefill_demand.PrefillRates:
         """Returns the prefill demand of a service over all boxes."""
-        return self._service(service).demand.total(now)
+        return self._service(service).demand.total_rates(now)
 
-    def note_asked(
+    def note_prefill_demand(
         self, service: str, unread: int, is_long: bool, now: float
     ) -> None:
         """Records the prefill demand of a request, whether sent or not."""
-        self._service(service).demand.note(unread, is_long, now)
+        self._service(service).demand.record_request(unread, is_long, now)
 
     def note_prefill_time(
         self, service: str, unread: int, seconds: float
     ) -> None:
         """Records the prefill time of a prompt that did not queue."""
-        self._service(service).learner.prompt_read(unread, seconds)
+        self._service(service).learner.record_prefill(unread, seconds)
 
     def note_token_pause(self, service: str, token_s: float) -> None:
         """Records the time per token of a stream during prefill."""
-        self._service(service).learner.paused(token_s)
+        self._service(service).learner.record_pause(token_s)
 
     def rows(self, now: float) -> list[EngineRow]:
         """Returns this box's reports for its peers."""
         rows = []
         for name, service in self._services.items():
             learned = service.learner.own
-            asked = service.demand.own(now)
+            asked = service.demand.own_rates(now)
             if learned == _NO_FIGURES and not asked.short and not asked.long:
                 continue
             rows.append(
                 (
                     name,
                     round(learned.prefill_tokens_per_s or 0),
-                    round((learned.reading_token_s or 0) / MICROSECOND_S),
+                    round(
+                        (learned.prefill_token_interval_s or 0) / MICROSECOND_S
+                    ),
                     round(asked.short),
                     round(asked.long),
                 )
             )
         return rows
 
-    def take_peer(
+    def update_peer(
         self, box: str, rows: Iterable[EngineRow], now: float
     ) -> None:
         """Applies the reports of another box."""
         for name, rate, token_us, short, long in rows:
             service = self._service(name)
-            learned = engine_figures.LearntFigures(
+            learned = engine_profiles.ProfileEstimate(
                 rate or None, token_us * MICROSECOND_S or None
             )
-            service.learner.take_peer(box, learned, now)
-            rates = reading_demand.ReadingRates(short, long)
-            service.demand.take_peer(box, rates, now)
+            service.learner.update_peer(box, learned, now)
+            rates = prefill_demand.PrefillRates(short, long)
+            service.demand.update_peer(box, rates, now)
 
     def dump(self, now: float) -> dict[str, dict[str, float | None]]:
         """Returns the current profiles by service, for diagnostics."""
@@ -113,12 +117,12 @@
             for name, service in self._services.items()
         }
 
-    def settle(self, now: float) -> None:
+    def recompute(self, now: float) -> None:
         """Recomputes all profiles and logs those that changed."""
         for name, service in self._services.items():
-            service.learner.settle(now)
-            figures = service.learner.figures
-            if figures.is_like(service.logged):
+            service.learner.recompute(now)
+            figures = service.learner.profile
+            if figures.is_close_to(service.logged):
                 continue
             service.logged = figures
             self._log.write(
@@ -137,14 +141,14 @@
     service: _EngineData, now: float
 ) -> dict[str, float | None]:
     """Returns the profile and demand of one service, in readable units."""
-    figures = service.learner.figures
-    asked = service.demand.total(now)
+    figures = service.learner.profile
+    asked = service.demand.total_rates(now)
     return {
         "tokens_per_s": round(figures.prefill_tokens_per_s),
         "reading_token_ms": None
-        if math.isinf(figures.reading_token_s)
-        else round(figures.reading_token_s * 1000, 1),
-        "boxes": service.learner.voters,
+        if math.isinf(figures.prefill_token_interval_s)
+        else round(figures.prefill_token_interval_s * 1000, 1),
+        "boxes": service.learner.estimating_boxes,
         "short_asked": round(asked.short),
         "long_asked": round(asked.long),
     }
--- a/martenjunction/routing/picture.py
+++ b/martenjunction/routing/store_cache.py
@@ -5,8 +5,8 @@
 from martenjunction import errors
 from martenjunction import model
 from martenjunction import revisions
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_list
-from martenjunction.decisions.boxes import key_freshness
 from martenjunction.platform import documents
 from martenjunction.platform import store
 from martenjunction.routing import admission
@@ -17,14 +17,14 @@
 MAX_UNREADABLE = 256
 
 
-class Picture:
+class StoreCache:
     """Applies updates of the store's state, from the store or from peers."""
 
     def __init__(
         self,
         admitter: admission.Admitter,
         listed: endpoint_list.EndpointList,
-        freshness: key_freshness.ConfigFreshness,
+        freshness: config_freshness.ConfigFreshness,
         log: decision_log.DecisionLog,
         now: Callable[[], float],
     ) -> None:
@@ -81,7 +81,7 @@
     @property
     def entries(self) -> dict[str, tuple[revisions.Revision, bytes]]:
         """Revision and document of each listed endpoint's entry."""
-        names = self._listed.names
+        names = self._listed.entry_names
         return {i: row for i, row in self._entries.items() if i in names}
 
     @property
@@ -95,7 +95,7 @@
         """Sets the callback for endpoints that are no longer available."""
         self._on_removed = callback
 
-    def take_config(self, spec: bytes, asked_at: float, source: str) -> None:
+    def apply_config(self, spec: bytes, asked_at: float, source: str) -> None:
         """Applies a configuration that was the newest when it was requested.
 
         A configuration that cannot be decoded, or that is older than the one
@@ -108,7 +108,7 @@
             source: Source of the configuration, for the log.
         """
         try:
-            version = self.take_newer_config(spec, source)
+            version = self.apply_newer_config(spec, source)
         except errors.PlatformError as error:
             self._note_unreadable(documents.CONFIG_NAME, spec, error)
             return
@@ -141,12 +141,14 @@
             return
         self._check_era(revision, source)
         entries, removed = self._decode_all(changed)
-        removed += self._listed.take_view(
+        removed += self._listed.apply_peer_view(
             entries, set(ready), revision, self._now()
         )
         for name, entry_revision, spec in changed:
             self._entries[name] = (entry_revision, spec)
-        for name in [i for i in self._entries if i not in self._listed.names]:
+        for name in [
+            i for i in self._entries if i not in self._listed.entry_names
+        ]:
             del self._entries[name]
         self._log.write(
             "endpoints-told",
@@ -158,7 +160,7 @@
         )
         self._report_removed(removed, revision, source)
 
-    def take_newer_config(self, spec: bytes, source: str) -> int:
+    def apply_newer_config(self, spec: bytes, source: str) -> int:
         """Applies a configuration unless a newer one is in force.
 
         Args:
@@ -174,11 +176,13 @@
         if spec == self._config_spec:
             return self.version
         config = documents.decode_config(spec)
-        if self._admitter.put_in_force(config):
+        if self._admitter.activate(config):
             self._config_spec = spec
             self._config_source = source
             self._documents.add(config.version, spec)
-            behind_s = self._freshness.caught_up(config.version, self._now())
+            behind_s = self._freshness.note_applied_version(
+                config.version, self._now()
+            )
             self._log.write(
                 "config-in-force",
                 version=config.version,
@@ -206,7 +210,7 @@
             return
         self._check_era(revision, source)
         entries, removed = self._decode_all(objects)
-        removed += self._listed.take_listing(entries, revision, self._now())
+        removed += self._listed.apply_listing(entries, revision, self._now())
         self._entries = {i: (r, spec) for i, r, spec in objects}
         self._log.write(
             "endpoints-listed",
@@ -222,7 +226,7 @@
         name, revision = change.object.name, change.object.revision
         if change.deleted:
             # A deletion applies even if the entry is unreadable.
-            removed = self._listed.take_end(name, revision, self._now())
+            removed = self._listed.apply_removal(name, revision, self._now())
             self._entries.pop(name, None)
             self._unreadable_entries.pop(name, None)
             self._log_endpoint(name, "gone", revision)
@@ -231,7 +235,7 @@
                 [(name, revision, change.object.spec)]
             )
             for endpoint, _ in entries:
-                removed += self._listed.take_change(endpoint, revision)
+                removed += self._listed.apply_entry(endpoint, revision)
                 self._entries[name] = (revision, change.object.spec)
                 self._log_endpoint(endpoint.id, endpoint.state.value, revision)
         self._listed.advance(revision)
@@ -240,7 +244,7 @@
     def _check_era(self, revision: revisions.Revision, source: str) -> None:
         """Handles a restore of the store since the last list or view."""
         known = self._listed.revision
-        if not self._listed.known or revision.era <= known.era:
+        if not self._listed.has_listing or revision.era <= known.era:
             return
         self._store_restores += 1
         self._log.write(
@@ -264,13 +268,15 @@
             revision=revision.number,
         )
 
-    def take_left(
+    def apply_removals(
         self, ids: tuple[str, ...], revision: revisions.Revision
     ) -> None:
         """Applies a peer's report that endpoints are no longer available."""
         for endpoint_id in ids:
             listed = self._listed.entries.get(endpoint_id)
-            if listed is not None and self._listed.leave(endpoint_id, revision):
+            if listed is not None and self._listed.mark_draining(
+                endpoint_id, revision
+            ):
                 self._log.write(
                     "endpoint-changed",
                     endpoint=endpoint_id,
@@ -342,7 +348,7 @@
                 )
             except errors.PlatformError as error:
                 self._note_unreadable(name, spec, error)
-                removed += self._listed.take_foreign(name, revision)
+                removed += self._listed.apply_unparsable(name, revision)
                 self._entries.pop(name, None)
             else:
                 self._unreadable_entries.pop(name, None)
--- a/martenjunction/routing/suspect_news.py
+++ b/martenjunction/routing/suspect_codec.py
@@ -14,18 +14,18 @@
 
 def encode(
     suspects: Iterable[suspect_table.Suspect],
-) -> peer_messages.Suspects:
+) -> peer_messages.SuspectRecords:
     """Returns a message with the records of suspected requests."""
-    rows = [(suspect.key, suspect.held) for suspect in suspects]
-    return peer_messages.Suspects(
+    rows = [(suspect.key, suspect.evidence) for suspect in suspects]
+    return peer_messages.SuspectRecords(
         tuple(key.caller for key, _ in rows),
         tuple(key.content for key, _ in rows),
         tuple(held.service for _, held in rows),
         tuple(held.epoch for _, held in rows),
-        tuple(tuple(held.ends) for _, held in rows),
-        tuple(tuple(held.ends.values()) for _, held in rows),
+        tuple(tuple(held.crashes) for _, held in rows),
+        tuple(tuple(held.crashes.values()) for _, held in rows),
         tuple(tuple(sorted(held.builds)) for _, held in rows),
-        tuple(held.tries for _, held in rows),
+        tuple(held.trials for _, held in rows),
         tuple(held.quarantined for _, held in rows),
         tuple(held.releases for _, held in rows),
         tuple(held.outlived for _, held in rows),
@@ -33,7 +33,7 @@
 
 
 def decode(
-    message: peer_messages.Suspects,
+    message: peer_messages.SuspectRecords,
 ) -> Iterator[tuple[request_content.ContentKey, suspicion.Suspicion]]:
     """Yields the key and the record of each request in a message.
 
--- a/martenjunction/routing/suspect_sync.py
+++ b/martenjunction/routing/suspect_sync.py
@@ -10,7 +10,7 @@
 from martenjunction.peers import membership
 from martenjunction.routing import peer_messages
 from martenjunction.routing import request_content
-from martenjunction.routing import suspect_news
+from martenjunction.routing import suspect_codec
 
 # Maximum number of suspected requests sent on a new connection, by descending
 # weight. A larger number would saturate links of low bandwidth.
@@ -55,7 +55,7 @@
         Args:
             emitter: Announces new connections to boxes.
         """
-        self._peers.subscribe(peer_messages.Suspects, self._on_suspects)
+        self._peers.subscribe(peer_messages.SuspectRecords, self._on_suspects)
         emitter.connect(events.PEER_CONNECTED, self._on_connected)
 
     def announce(self, suspect: suspect_table.Suspect) -> None:
@@ -64,7 +64,7 @@
             asyncio.get_running_loop().call_soon(self._broadcast, self._pending)
         self._pending[suspect.key] = suspect
 
-    def pass_on(self) -> None:
+    def forward_pending(self) -> None:
         """Forwards pending changes to boxes that their sender may not reach.
 
         To be called a few times per second. Forwarding each change separately
@@ -75,29 +75,31 @@
 
     def _broadcast(self, batch: _Batch) -> None:
         if batch:
-            self._peers.broadcast(suspect_news.encode(batch.values()))
+            self._peers.broadcast(suspect_codec.encode(batch.values()))
             batch.clear()
 
     def _on_connected(self, box: str) -> None:
         """Sends the suspected requests to a newly connected box."""
-        known = [s for s in self._table if s.held.generation]
+        known = [s for s in self._table if s.evidence.generation]
         known.sort(key=suspect_table.weight, reverse=True)
         if known:
-            self._peers.send(box, suspect_news.encode(known[:MAX_ON_CONNECT]))
+            self._peers.send(box, suspect_codec.encode(known[:MAX_ON_CONNECT]))
 
-    def _on_suspects(self, box: str, message: peer_messages.Suspects) -> None:
+    def _on_suspects(
+        self, box: str, message: peer_messages.SuspectRecords
+    ) -> None:
         linked = len(self._peers.boxes()) + 1
-        should_forward = linked < len(self._members.believed())
+        should_forward = linked < len(self._members.live_members())
         outdated = []
-        for key, held in suspect_news.decode(message):
+        for key, held in suspect_codec.decode(message):
             changed = self._merge(box, key, held)
             known = self._table.find(key)
             if changed is None:
-                if known is not None and held.epoch < known.held.epoch:
+                if known is not None and held.epoch < known.evidence.epoch:
                     outdated.append(known)
             elif should_forward:
                 self._pending_forwards[key] = changed
         if outdated:
             # Without the current epoch, crashes that the sender records would
             # be ignored by all other boxes.
-            self._peers.send(box, suspect_news.encode(outdated))
+            self._peers.send(box, suspect_codec.encode(outdated))
--- a/martenjunction/routing/trial_grants.py
+++ b/martenjunction/routing/trial_grants.py
@@ -12,7 +12,7 @@
 from martenjunction.routing import holders
 from martenjunction.routing import peer_messages
 from martenjunction.routing import request_content
-from martenjunction.routing import suspect_news
+from martenjunction.routing import suspect_codec
 
 # Timeout in seconds for the holder's answer, after which the next-ranked box is
 # asked. Stalls of this box's event loop do not count.
@@ -151,7 +151,7 @@
         )
         self._pending[number] = response
         message = peer_messages.AskTrial(
-            number, suspect_news.encode([suspect]), tuple(sorted(builds)), hops
+            number, suspect_codec.encode([suspect]), tuple(sorted(builds)), hops
         )
         try:
             if not self._peers.send(holder, message):
@@ -165,15 +165,15 @@
         return TrialRuling(answer.granted, answer.wait_ms * MS)
 
     async def _wait(self, response: asyncio.Future[Any]) -> None:
-        until = self._timers.listened() + ANSWER_LIMIT_S
+        until = self._timers.stall_adjusted_now() + ANSWER_LIMIT_S
         while not response.done():
-            left_s = until - self._timers.listened()
+            left_s = until - self._timers.stall_adjusted_now()
             if left_s <= 0.0:
                 return
             await asyncio.wait([response], timeout=left_s)
 
     def _on_ask(self, box: str, ask: peer_messages.AskTrial) -> None:
-        for key, held in suspect_news.decode(ask.suspect):
+        for key, held in suspect_codec.decode(ask.suspect):
             self._merge(box, key, held)
             holder = self._selector.holder(str(key))
             own = holder == self._selector.own_box
@@ -223,17 +223,17 @@
         self._peers.send(
             box,
             peer_messages.TrialAnswer(
-                ask.number, ruling.granted, wait_ms, suspect_news.encode(known)
+                ask.number, ruling.granted, wait_ms, suspect_codec.encode(known)
             ),
         )
 
     def _on_answer(self, box: str, answer: peer_messages.TrialAnswer) -> None:
         waiting = self._pending.get(answer.number)
-        for key, held in suspect_news.decode(answer.suspect):
+        for key, held in suspect_codec.decode(answer.suspect):
             self._merge(box, key, held)
             if answer.granted and waiting is None:
                 # Nobody waits for the answer any more: release the trial.
-                self.report_over(key, held.tries)
+                self.report_over(key, held.trials)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
 
--- a/martenjunction/timers.py
+++ b/martenjunction/timers.py
@@ -11,7 +11,7 @@
 
 # Delay, in seconds, above which the event loop counts as stalled. Delays stay
 # below it under light load.
-HELD_UP_S = 0.03
+STALL_THRESHOLD_S = 0.03
 
 Tick = Callable[[], None]
 
@@ -72,7 +72,7 @@
         """Returns seconds on the service's clock."""
         return self._clock()
 
-    def listened(self) -> float:
+    def stall_adjusted_now(self) -> float:
         """Returns seconds on a clock that stops during event loop stalls.
 
         Messages that arrive during a stall are not read until it ends, so the
@@ -116,7 +116,7 @@
                 subscription.due = now + subscription.interval
                 self._call(subscription)
 
-    def rest_until(self, wake: float) -> None:
+    def set_next_wake(self, wake: float) -> None:
         """Records the time at which the next call is due."""
         self._wake_at = wake
 
@@ -127,7 +127,7 @@
         self._worst_delay = max(self._worst_delay * 0.999, delay)
         self._stalled_s += self._current_stall_s(now)
         self._wake_at = math.inf
-        if delay > HELD_UP_S and self._on_stall is not None:
+        if delay > STALL_THRESHOLD_S and self._on_stall is not None:
             self._on_stall(delay)
         self.fire()
 
@@ -145,13 +145,13 @@
     async def _run(self) -> None:
         while True:
             wake = self._next_due()
-            self.rest_until(wake)
+            self.set_next_wake(wake)
             await asyncio.sleep(max(self.RESOLUTION, wake - self.now()))
             self.wake()
 
     def _current_stall_s(self, now: float) -> float:
         """Returns the duration of the current stall in seconds."""
-        return max(0.0, now - self._wake_at - HELD_UP_S)
+        return max(0.0, now - self._wake_at - STALL_THRESHOLD_S)
 
     def _next_due(self) -> float:
         horizon = self.now() + 1.0
--- a/martenjunction/wiring.py
+++ b/martenjunction/wiring.py
@@ -10,7 +10,7 @@
 
 # Messages from entry daemons to the owner of a cell.
 TO_OWNER = (
-    cell_messages.AskPlace,
+    cell_messages.SlotRequested,
     cell_messages.AnnounceRun,
     cell_messages.Withdraw,
     cell_messages.FirstToken,
@@ -19,7 +19,7 @@
 
 # Messages from owners of cells to entry daemons.
 TO_ENTRY = (
-    cell_messages.PlaceGranted,
+    cell_messages.SlotGranted,
     cell_messages.RequestShed,
     cell_messages.RunPreempted,
     cell_messages.Summary,
@@ -41,7 +41,7 @@
         """
         self._box = box
         self._peers = peers
-        self._throttle = summaries.SummaryGate()
+        self._throttle = summaries.SummaryThrottle()
 
     def connect(self, cells: host.CellHost, cell_broker: broker.Broker) -> None:
         """Subscribes the components to their messages.
@@ -84,7 +84,7 @@
         current = self._cells.summaries()
         for summary in current:
             self._broker.receive(self._box, summary)
-        for summary in self._throttle.pass_on(current, now):
+        for summary in self._throttle.select_due(current, now):
             self._peers.broadcast(summary)
 
     def resend_all(self) -> None:
--- a/martenjunction_lab/baselines.py
+++ b/martenjunction_lab/baselines.py
@@ -7,7 +7,7 @@
 
 from martenjunction import registry
 from martenjunction.decisions import endpoint_states
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.decisions.cells import outliers
 from martenjunction.decisions.cells import placement
@@ -29,7 +29,7 @@
 
 
 class _NoOutliers(outliers.Outliers):
-    def judge(self, endpoint: placement.Endpoint, now: float) -> None:
+    def evaluate(self, endpoint: placement.Endpoint, now: float) -> None:
         """Finds no endpoint at fault."""
 
 
@@ -42,7 +42,7 @@
             random.Random(SEED),
         )
         self._outliers = _NoOutliers(self._cell)
-        self._line: collections.OrderedDict[str, asks.Ask] = (
+        self._line: collections.OrderedDict[str, dispatch_types.SlotRequest] = (
             collections.OrderedDict()
         )
 
@@ -51,11 +51,13 @@
         """How many requests wait."""
         return len(self._line)
 
-    def waiting_asks(self) -> Iterator[asks.Ask]:
+    def waiting_requests(self) -> Iterator[dispatch_types.SlotRequest]:
         """Yields the waiting requests in their order."""
         yield from self._line.values()
 
-    def submit(self, ask: asks.Ask, now: float) -> list[asks.Decision]:
+    def submit(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> list[dispatch_types.Decision]:
         """Puts a request at the end of the line."""
         if self.run(ask.request_id) is None:
             self._line[ask.request_id] = ask
@@ -65,13 +67,13 @@
         """Forgets a waiting request."""
         return self._line.pop(request_id, None) is not None
 
-    def review(self, now: float) -> list[asks.Decision]:
+    def review(self, now: float) -> list[dispatch_types.Decision]:
         """Sheds nothing and ejects nothing."""
         return []
 
-    def step(self, now: float) -> list[asks.Decision]:
+    def step(self, now: float) -> list[dispatch_types.Decision]:
         """Grants in the order of the line."""
-        decisions: list[asks.Decision] = []
+        decisions: list[dispatch_types.Decision] = []
         for ask in self._in_order():
             endpoint = self._choose(ask, now)
             if endpoint is None:
@@ -80,7 +82,7 @@
             decisions.append(self._granting.grant(ask, endpoint, 0.0, now))
         return decisions
 
-    def _in_order(self) -> list[asks.Ask]:
+    def _in_order(self) -> list[dispatch_types.SlotRequest]:
         return list(self._line.values())
 
     def _usable(self) -> list[placement.Endpoint]:
@@ -89,7 +91,9 @@
             e for e in self.endpoints.values() if e.health.state is not gone
         ]
 
-    def _choose(self, ask: asks.Ask, now: float) -> placement.Endpoint | None:
+    def _choose(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> placement.Endpoint | None:
         raise NotImplementedError
 
 
@@ -102,7 +106,9 @@
         super().__init__()
         self._turn = 0
 
-    def _choose(self, ask: asks.Ask, now: float) -> placement.Endpoint | None:
+    def _choose(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> placement.Endpoint | None:
         usable = self._usable()
         if not usable:
             return None
@@ -114,7 +120,9 @@
 class LeastLoad(Baseline):
     """The less loaded of two endpoints drawn at random; no tiers."""
 
-    def _choose(self, ask: asks.Ask, now: float) -> placement.Endpoint | None:
+    def _choose(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> placement.Endpoint | None:
         usable = self._usable()
         if not usable:
             return None
@@ -126,10 +134,12 @@
 class StrictPriority(Baseline):
     """The highest tier first, in order of arrival; no share for others."""
 
-    def _in_order(self) -> list[asks.Ask]:
+    def _in_order(self) -> list[dispatch_types.SlotRequest]:
         return sorted(self._line.values(), key=lambda ask: ask.tier)
 
-    def _choose(self, ask: asks.Ask, now: float) -> placement.Endpoint | None:
+    def _choose(
+        self, ask: dispatch_types.SlotRequest, now: float
+    ) -> placement.Endpoint | None:
         free = [e for e in self._usable() if len(e.runs) < e.slots]
         return min(free, key=lambda e: e.busy / e.slots, default=None)
 
--- a/martenjunction_lab/bench.py
+++ b/martenjunction_lab/bench.py
@@ -143,6 +143,6 @@
             name
             for daemon in self.daemons
             for task in daemon.cells.tasks.values()
-            for name, endpoint in task.decider.endpoints.items()
+            for name, endpoint in task.dispatcher.endpoints.items()
             if endpoint.health.state != "pending"
         }
--- a/martenjunction_lab/boxes.py
+++ b/martenjunction_lab/boxes.py
@@ -150,7 +150,7 @@
         ids = {made.id for made in self.replicas}
         await until(
             lambda: all(
-                made.dump()["ready"] and set(made.listed.entries) >= ids
+                made.dump()["ready"] and set(made.endpoint_list.entries) >= ids
                 for made in self.gateways
             )
         )
--- a/martenjunction_lab/capacity/pure.py
+++ b/martenjunction_lab/capacity/pure.py
@@ -8,7 +8,7 @@
 from martenjunction.cells import directory
 from martenjunction.config import store
 from martenjunction.decisions import policies
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction_lab.capacity import fits
 
@@ -24,12 +24,14 @@
     for number in range(endpoints):
         name = f"e{number}"
         cell.set_endpoint(name, SLOTS, 0.0)
-        cell.report(asks.LoadReport(name, 0.0, 0, 0), 0.0)
+        cell.report(dispatch_types.LoadReport(name, 0.0, 0, 0), 0.0)
     return cell
 
 
-def _ask(number: int, now: float, rng: random.Random) -> asks.Ask:
-    return asks.Ask(
+def _ask(
+    number: int, now: float, rng: random.Random
+) -> dispatch_types.SlotRequest:
+    return dispatch_types.SlotRequest(
         request_id=f"r{number}",
         entry="box-1",
         tier=rng.randint(1, 4),
@@ -63,10 +65,14 @@
         cell.submit(_ask(number + turn + 1, now, rng), now)
         ended = running.pop(0)
         cell.first_token(ended, 0.05, now)
-        end = asks.RunEnd(ended, asks.Ending.COMPLETE, 0.05, 400, 0.03)
+        end = dispatch_types.RunEnd(
+            ended, dispatch_types.Ending.COMPLETE, 0.05, 400, 0.03
+        )
         cell.ended(end, now)
         running += [
-            d.request_id for d in cell.step(now) if isinstance(d, asks.Grant)
+            d.request_id
+            for d in cell.step(now)
+            if isinstance(d, dispatch_types.Grant)
         ]
     return (time.process_time() - started) / ROUNDS * 1e6
 
--- a/martenjunction_lab/cluster.py
+++ b/martenjunction_lab/cluster.py
@@ -259,7 +259,7 @@
         if self._http is None:
             raise RuntimeError("the cluster was not started")
         address = self.daemons[box].settings.operators
-        answer = await remote.ask_daemon(
+        answer = await remote.call_daemon(
             self._http, address, bench.OPERATOR_KEY, method, path, body
         )
         return answer.body
@@ -269,7 +269,7 @@
         if self._http is None:
             raise RuntimeError("the cluster was not started")
         address = self.daemons[box].settings.callers
-        answer = await remote.ask_daemon(self._http, address, key, "GET", path)
+        answer = await remote.call_daemon(self._http, address, key, "GET", path)
         return dict(answer.json())
 
     async def owner_of(self, cell: str) -> str:
--- a/martenjunction_lab/compare.py
+++ b/martenjunction_lab/compare.py
@@ -103,7 +103,7 @@
 ) -> RunResult:
     outside: standins.StandIns = fleet.outside
     preempted = sum(
-        task.decider.counts.preempted
+        task.dispatcher.counts.preempted
         for daemon in fleet.daemons
         for task in daemon.cells.tasks.values()
     )
--- a/martenjunction_lab/engine_cache.py
+++ b/martenjunction_lab/engine_cache.py
@@ -29,11 +29,11 @@
         Returns:
             Tokens of the prompt that it did not hold.
         """
-        text = prompts.text_of(body.get("messages", []))
-        tokens = prompts.count_tokens(text)
+        text = prompts.serialize_messages(body.get("messages", []))
+        tokens = prompts.estimate_tokens(text)
         going_on = body.get("continue_from") or {}
         tokens += int(going_on.get("tokens", 0))
-        for block in prompts.prefix_blocks(text):
+        for block in prompts.prefix_hashes(text):
             if block in self._blocks:
                 tokens -= placement.BLOCK_TOKENS
             self._blocks[block] = None
--- a/martenjunction_lab/plain.py
+++ b/martenjunction_lab/plain.py
@@ -72,7 +72,7 @@
         booking = self.request.headers.get(BOOKING_HEADER, request_id)
         if service.faults.refuse:
             self.set_status(503)
-            self.set_header(plain_protocol.RAN_HEADER, "no")
+            self.set_header(plain_protocol.EXECUTED_HEADER, "no")
             return
         service.runs[booking] += 1
         service.running += 1
--- a/martenjunction_lab/replays/ablations.py
+++ b/martenjunction_lab/replays/ablations.py
@@ -9,13 +9,13 @@
 from martenjunction.decisions import rendezvous
 from martenjunction.decisions.boxes import endpoint_choice
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import engine_figures
-from martenjunction.decisions.boxes import shedding
+from martenjunction.decisions.boxes import engine_profiles
+from martenjunction.decisions.boxes import load_shedding
 
 Ablation = Callable[[], contextlib.AbstractContextManager[None]]
 
 # What was counted with before figures were learnt.
-FIRST_FIGURES = engine_figures.EngineFigures(50_000.0, 0.0431)
+FIRST_FIGURES = engine_profiles.EngineProfile(50_000.0, 0.0431)
 
 # Short streams for each of which one more engine was kept before.
 OLD_SHORT_RUNS = 14
@@ -34,7 +34,7 @@
 def figures() -> contextlib.AbstractContextManager[None]:
     """Counts with the figures of the first users' engines."""
     fixed = property(lambda _: FIRST_FIGURES)
-    return _put(engine_figures.FiguresLearner, "figures", fixed)
+    return _put(engine_profiles.ProfileEstimator, "profile", fixed)
 
 
 @ablations.register("division-by-demand")
@@ -46,35 +46,35 @@
         demand: endpoint_records.Demand,
         now: float,
     ) -> set[str]:
-        if demand.reads_beside_streams:
+        if demand.tolerates_prefill:
             return set()
         order = rendezvous.ranked(
             [record.id for record in records], f"short {demand.service}"
         )
         running = sum(record.loads.short_running(now) for record in records)
         count = max(1, len(order) // 5, running // OLD_SHORT_RUNS)
-        most = int(len(order) * endpoint_choice.MOST_SHORT_PART)
+        most = int(len(order) * endpoint_choice.MAX_RESERVED_FRACTION)
         return set(order[: min(count, most)])
 
-    return _put(endpoint_choice, "kept_for_short", kept)
+    return _put(endpoint_choice, "reserved_for_short", kept)
 
 
 @ablations.register("running-streams-avoided")
 def avoided() -> contextlib.AbstractContextManager[None]:
     """Lets long prompts beside short streams outside the kept engines."""
-    return _put(endpoint_choice, "LONG_A_SHORT_STREAM_S", 0.0)
+    return _put(endpoint_choice, "LONG_COST_PER_SHORT_STREAM_S", 0.0)
 
 
 @ablations.register("early-refusal")
 def refusal() -> contextlib.AbstractContextManager[None]:
     """Refuses nothing."""
-    return _put(shedding, "retry_after_s", lambda prospect: None)
+    return _put(load_shedding, "retry_after_s", lambda prospect: None)
 
 
 @ablations.register("shared-parts")
 def shared() -> contextlib.AbstractContextManager[None]:
     """Places prompts wherever least waits, whatever is held there."""
-    return _put(endpoint_choice, "SHARED_TOKEN_COST_S", 0.0)
+    return _put(endpoint_choice, "SHARED_PREFILL_COST_S", 0.0)
 
 
 @contextlib.contextmanager
--- a/martenjunction_lab/replays/replay.py
+++ b/martenjunction_lab/replays/replay.py
@@ -15,9 +15,9 @@
 from martenjunction import revisions
 from martenjunction.decisions.boxes import endpoint_list
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import shedding
+from martenjunction.decisions.boxes import load_shedding
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction_lab.replays import engines
 from martenjunction_lab.replays import loads
 
@@ -55,8 +55,8 @@
 @dataclasses.dataclass(slots=True)
 class _Request:
     arrival: loads.Arrival
-    book: endpoint_book.EndpointBook
-    ticket: endpoint_book.RunTicket
+    book: endpoint_registry.EndpointRegistry
+    ticket: endpoint_registry.RunTicket
     heard_at: float
     late: bool = False
     first: bool = True
@@ -120,7 +120,7 @@
             call(now)
         return self.results
 
-    def _book(self, number: int) -> endpoint_book.EndpointBook:
+    def _book(self, number: int) -> endpoint_registry.EndpointRegistry:
         listed = endpoint_list.EndpointList()
         endpoints = [
             model.Endpoint(
@@ -134,8 +134,8 @@
             for name in self._engines
         ]
         first = revisions.Revision(1, 1)
-        listed.take_listing([(e, first) for e in endpoints], first, 0.0)
-        return endpoint_book.EndpointBook(
+        listed.apply_listing([(e, first) for e in endpoints], first, 0.0)
+        return endpoint_registry.EndpointRegistry(
             listed, decision_log.DecisionLog(lambda: 0.0), random.Random(number)
         )
 
@@ -168,9 +168,9 @@
         for other in self._books:
             if other is not book:
                 name = f"box-{index}"
-                other.take_peer_loads(name, book.loads(), now)
-                other.take_peer_sent(name, book.sent_tokens(), now)
-                other.engines.take_peer(name, book.engines.rows(now), now)
+                other.update_peer_loads(name, book.loads(), now)
+                other.update_peer_sent(name, book.sent_tokens(), now)
+                other.engines.update_peer(name, book.engines.rows(now), now)
 
     def _come(self, now: float, number: int, arrival: loads.Arrival) -> None:
         kind = arrival.kind
@@ -183,9 +183,11 @@
             result.refused += 1
             return
         endpoint, choice = chosen
-        book.engines.note_asked(SERVICE, choice.unread, demand.is_long, now)
-        pause_s = shedding.retry_after_s(
-            shedding.Prospect(
+        book.engines.note_prefill_demand(
+            SERVICE, choice.prefill_tokens, demand.is_long, now
+        )
+        pause_s = load_shedding.retry_after_s(
+            load_shedding.AdmissionForecast(
                 choice.predicted_s, kind.target_s, False, choice.busy
             )
         )
@@ -207,7 +209,7 @@
 
     def _demand(
         self,
-        book: endpoint_book.EndpointBook,
+        book: endpoint_registry.EndpointRegistry,
         number: int,
         arrival: loads.Arrival,
         now: float,
@@ -227,8 +229,8 @@
             self._shortest,
             kind.pause_s,
             self._load.engine_kind.tokens_per_event,
-            book.engines.figures(SERVICE),
-            book.engines.asked(SERVICE, now),
+            book.engines.profile(SERVICE),
+            book.engines.prefill_demand(SERVICE, now),
         )
 
     def _wake(self, now: float, engine: engines.Engine) -> None:
@@ -256,7 +258,7 @@
         )
         request.first = False
         request.heard_at = now
-        request.book.heard(request.ticket, now, 1)
+        request.book.note_response(request.ticket, now, 1)
         if run.events:
             return
         del self._requests[run.number]
@@ -281,4 +283,4 @@
             request.book.end(request.ticket, now, failed=True)
             self._result(request.arrival).lost += 1
         for book in self._books:
-            book.listed.leave(name, revisions.Revision(1, 2))
+            book.listed.mark_draining(name, revisions.Revision(1, 2))
--- a/martenjunction_lab/spread/fleet.py
+++ b/martenjunction_lab/spread/fleet.py
@@ -12,16 +12,16 @@
 
 from martenjunction import events
 from martenjunction import timers
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_list
-from martenjunction.decisions.boxes import key_freshness
 from martenjunction.decisions.boxes import store_readers
 from martenjunction.peers import hub
 from martenjunction.peers import membership
 from martenjunction.routing import admission
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import peer_sync
-from martenjunction.routing import picture
+from martenjunction.routing import store_cache
 from martenjunction_lab.spread import network
 
 # Seconds between two looks at a box's timers.
@@ -118,21 +118,21 @@
         self._box = box
         self._turned_away = turned_away
         self._wanted = False
-        self.answered = False
+        self.is_synced = False
 
     def read(self, wanted: bool, first: bool) -> None:
         if wanted and not self._wanted:
             self._wanted = True
             self._confirm()
         elif not wanted:
-            self._wanted = self.answered = False
+            self._wanted = self.is_synced = False
 
     def update_era(self, era: int) -> None:
         """Does nothing, as this store is never restored from a copy."""
 
     def news(self) -> None:
         """Lets a watch tell of a new configuration."""
-        if self.answered:
+        if self.is_synced:
             self._take(self._fleet.simulation.now)
 
     def _confirm(self) -> None:
@@ -140,7 +140,7 @@
             return
         now = self._fleet.simulation.now
         if self._turned_away:
-            self.answered = False
+            self.is_synced = False
         else:
             self._take(now)
         pause_s = store_readers.confirm_interval_s(
@@ -153,7 +153,7 @@
 
         def taken() -> None:
             if self._wanted:
-                self.answered = True
+                self.is_synced = True
                 self._box.take(spec, asked_at)
 
         machine = self._box.machine
@@ -179,16 +179,16 @@
         self.slow = slow
         self.clock = timers.Timers(simulation)
         self.members = membership.Membership(member, self.clock, lambda: None)
-        self.freshness = key_freshness.ConfigFreshness(5.0, 0.25, 3.0)
+        self.freshness = config_freshness.ConfigFreshness(5.0, 0.25, 3.0)
         log = decision_log.DecisionLog(simulation)
         listed = endpoint_list.EndpointList()
-        book = endpoint_book.EndpointBook(listed, log, random.Random(1))
+        book = endpoint_registry.EndpointRegistry(listed, log, random.Random(1))
         admitter = admission.Admitter(self.freshness, False, random.Random(1))
-        self.known = picture.Picture(
+        self.known = store_cache.StoreCache(
             admitter, listed, self.freshness, log, simulation
         )
-        self._decoded = self.known.take_newer_config
-        self.known.take_newer_config = self._decode  # type: ignore[method-assign]
+        self._decoded = self.known.apply_newer_config
+        self.known.apply_newer_config = self._decode  # type: ignore[method-assign]
         self.reading = _Reading(fleet, self, away)
         self.peers = hub.PeerHub(
             self.members,
@@ -198,7 +198,7 @@
             self._heartbeat,
             "",
             rng=random.Random(1),
-            silence_limit=peer_sync.LINK_SILENCE_S,
+            silence_timeout_s=peer_sync.LINK_SILENCE_TIMEOUT_S,
         )
         self.sync = peer_sync.PeerSync(
             self.peers,
@@ -218,7 +218,7 @@
 
     def take(self, spec: bytes, asked_at: float) -> None:
         """Takes in what the store answered."""
-        self.known.take_config(spec, asked_at, "store")
+        self.known.apply_config(spec, asked_at, "store")
 
     def _decode(self, spec: bytes, source: str) -> int:
         before = self.known.version
@@ -280,17 +280,21 @@
         for one in self.boxes.values():
             for other in self.boxes.values():
                 if other is not one:
-                    one.members.met(dataclasses.replace(other.member))
-                    one.members.listed(other.member, True, False)
+                    one.members.record_connected(
+                        dataclasses.replace(other.member)
+                    )
+                    one.members.update_listed(other.member, True, False)
         for name, box in self.boxes.items():
             self._seen[name] = []
             for member in box.peers._targets():
-                if not box.peers.reachable(member.box):
+                if not box.peers.is_connected(member.box):
                     self._connect(box, self.boxes[member.box])
         for number, box in enumerate(self.boxes.values()):
             box.take(self.newest, 0.0)
             box.sync.start()
-            box.clock.subscribe("heartbeat", hub.BEAT_LOOK_S, box.peers._beat)
+            box.clock.subscribe(
+                "heartbeat", hub.HEARTBEAT_CHECK_S, box.peers._send_heartbeat
+            )
             box.reading.read(True, True)
             self._tick(box, TICK_S * number / len(self.boxes))
 
@@ -303,7 +307,7 @@
             self._tick(box, TICK_S)
 
         due = self.simulation.now + after_s
-        box.clock.rest_until(due)
+        box.clock.set_next_wake(due)
         self.simulation.at(due, lambda: box.machine.work(0.0, look))
 
     def _connect(self, one: _Box, two: _Box) -> None:
@@ -314,7 +318,7 @@
 
     def _end(self, own: _Box, other: _Box, calls: bool) -> network.Connection:
         def lost(end: network.Connection) -> None:
-            own.peers._drop(end)  # type: ignore[arg-type]
+            own.peers._remove_link(end)  # type: ignore[arg-type]
             if calls:
                 self._call_again(own, other)
 
--- a/martenjunction_lab/spread/network.py
+++ b/martenjunction_lab/spread/network.py
@@ -144,7 +144,7 @@
         """
         self.member = member
         self.box = member.box
-        self.heard = simulation.now
+        self.last_received_at = simulation.now
         self.counts = links.LinkCounts()
         self._simulation = simulation
         self._machine = machine
@@ -172,8 +172,8 @@
         self._pump()
         return True
 
-    def look(self) -> None:
-        """Sends what may be sent now, as `links.Link.look` does."""
+    def flush_ack(self) -> None:
+        """Sends what may be sent now, as `links.Link.flush_ack` does."""
         self._pump()
 
     def close(self) -> None:
@@ -189,7 +189,7 @@
         if self._closed or other is None or self._under_way >= WINDOW_BYTES:
             return
         batch = self._unsent.take_all()
-        if not batch and not self._flow.owes_word:
+        if not batch and not self._flow.needs_ack:
             return
         self._machine.spend(SEND_S)
         head = self._flow.begin_frame(bool(batch))
@@ -211,10 +211,10 @@
         self._pump()
 
     def _read(self, frame: bytes) -> None:
-        self.heard = self._simulation.now
-        batch = codec.decode_batch(self._flow.take_frame(frame))
+        self.last_received_at = self._simulation.now
+        batch = codec.decode_batch(self._flow.receive_frame(frame))
         for message in batch:
             self._receive(self, message)
         if batch:
-            self._flow.note_taken()
+            self._flow.record_processed()
         self._pump()
--- a/martenjunction_lab/trial_fleet.py
+++ b/martenjunction_lab/trial_fleet.py
@@ -160,7 +160,8 @@
 
     def _all_listed(self) -> bool:
         return all(
-            box.dump()["ready"] and box.listed.names >= set(self._services)
+            box.dump()["ready"]
+            and box.endpoint_list.entry_names >= set(self._services)
             for box in self.boxes.gateways
         )
 
--- a/tests/box_processes.py
+++ b/tests/box_processes.py
@@ -65,7 +65,7 @@
             signal.pidfd_send_signal(self.pidfd, number)
 
     @contextlib.contextmanager
-    def held_up(self) -> Iterator[None]:
+    def suspended(self) -> Iterator[None]:
         """Suspends the process, as if it got no processor time."""
         self.signal(signal.SIGSTOP)
         try:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,10 +1,12 @@
 """Builders for test data."""
 
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 
 
-def ask(request_id: str = "r1", **changes: object) -> asks.Ask:
+def ask(
+    request_id: str = "r1", **changes: object
+) -> dispatch_types.SlotRequest:
     """Returns a request of the highest tier that arrived at time 0."""
     values: dict[str, object] = {
         "request_id": request_id,
@@ -19,7 +21,7 @@
         "expected_tokens": 50.0,
     }
     values.update(changes)
-    return asks.Ask(**values)  # type: ignore[arg-type]
+    return dispatch_types.SlotRequest(**values)  # type: ignore[arg-type]
 
 
 def cell(
@@ -34,12 +36,15 @@
     for number in range(1, endpoints + 1):
         name = f"e{number}"
         dispatcher_under_test.set_endpoint(name, slots, 0.0)
-        dispatcher_under_test.report(asks.LoadReport(name, 0.0, 0, 0), 0.0)
+        dispatcher_under_test.report(
+            dispatch_types.LoadReport(name, 0.0, 0, 0), 0.0
+        )
     return dispatcher_under_test
 
 
 def end(
-    request_id: str, ending: asks.Ending = asks.Ending.COMPLETE
-) -> asks.RunEnd:
+    request_id: str,
+    ending: dispatch_types.Ending = dispatch_types.Ending.COMPLETE,
+) -> dispatch_types.RunEnd:
     """Returns the end of a run."""
-    return asks.RunEnd(request_id, ending, 0.05, 10, 0.03)
+    return dispatch_types.RunEnd(request_id, ending, 0.05, 10, 0.03)
--- a/tests/caller_builders.py
+++ b/tests/caller_builders.py
@@ -203,7 +203,9 @@
     ]
 
 
-async def callers_of(fleet: bench.Bench, count: int = CALLERS) -> list[Caller]:
+async def connect_callers(
+    fleet: bench.Bench, count: int = CALLERS
+) -> list[Caller]:
     """Returns callers whose connections have served one request each."""
     made = [Caller(fleet.addresses[0]) for _ in range(count)]
     for caller in made:
@@ -214,7 +216,7 @@
     return made
 
 
-async def ask_in_rounds(callers: list[Caller], rounds: int) -> None:
+async def send_in_rounds(callers: list[Caller], rounds: int) -> None:
     """Sends a chat from all callers at once in each round.
 
     Asserts that every request succeeds.
--- a/tests/gateway_requests.py
+++ b/tests/gateway_requests.py
@@ -83,7 +83,7 @@
     return asked
 
 
-async def begin_at_one_that_changes(
+async def check_change_while_connecting(
     fleet: boxes.Boxes,
     monkeypatch: pytest.MonkeyPatch,
     act: Callable[[gateway.Gateway, str], object],
@@ -107,7 +107,9 @@
     assert not first.received
 
 
-def behave(made: list[replica.Replica], behaviour: Behaviour) -> None:
+def plan_first_response(
+    made: list[replica.Replica], behaviour: Behaviour
+) -> None:
     """Plans the behaviour for the next request of each replica."""
     for stand_in in made:
         stand_in.plan(behaviour)
--- a/tests/kept_connections.py
+++ b/tests/keep_alive_connections.py
@@ -62,7 +62,7 @@
         return len(head) + 4 + length if len(body) >= length else None
 
 
-async def kept(
+async def open_used_connections(
     address: str, count: int, request: bytes
 ) -> list[KeptConnection]:
     """Returns connections that have each carried one request."""
--- a/tests/limit_table.py
+++ b/tests/limit_table.py
@@ -32,7 +32,7 @@
     """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = limited_endpoints.LimitedFleet(trial)
-    outcome = await fleet.run(builders.patient_config_document())
+    outcome = await fleet.run(builders.relaxed_config_document())
     parts = outcome.windows()
     used = " ".join(f"{part:.2f}" for part in outcome.used().values())
     longest_s = max((r.after_s for r in outcome.refusals), default=0.0)
--- a/tests/limited_fleet.py
+++ b/tests/limited_fleet.py
@@ -9,7 +9,7 @@
 from martenjunction.decisions.boxes import endpoint_list
 from martenjunction.peers import membership
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import limit_sync
 from martenjunction.routing import rate_grants
 from tests import linked_boxes
@@ -29,7 +29,7 @@
     own: membership.Member
     all: list[membership.Member]
 
-    def believed(self) -> list[membership.Member]:
+    def live_members(self) -> list[membership.Member]:
         return self.all
 
 
@@ -51,21 +51,23 @@
         clock = timers.Timers(lambda: fleet.now)
         log = decision_log.DecisionLog(clock.now)
         listed = endpoint_list.EndpointList()
-        listed.take_listing(
+        listed.apply_listing(
             [(builders.endpoint(ENDPOINT), builders.rev(3))],
             builders.rev(5),
             now=0.0,
         )
         self.name = node.name
         self.heard = set(node.links)
-        self.book = endpoint_book.EndpointBook(listed, log, random.Random(1))
+        self.registry = endpoint_registry.EndpointRegistry(
+            listed, log, random.Random(1)
+        )
         believed: Any = Members(own, members)
         peers: Any = node
         self.limits = limit_sync.LimitSync(
-            self.book, peers, believed, clock, log
+            self.registry, peers, believed, clock, log
         )
         self.grants = rate_grants.RateGrants(
-            self.book,
+            self.registry,
             self.limits,
             peers,
             believed,
@@ -100,7 +102,7 @@
 
     def report_limit(self, box: str, per_s: float | None) -> None:
         """Simulates an answer to a box that contains a limit."""
-        self.boxes[box].limits.say(ENDPOINT, per_s, self.now)
+        self.boxes[box].limits.report_limit(ENDPOINT, per_s, self.now)
 
     async def run(self, seconds: float, asks_per_s: float) -> None:
         """Lets randomly chosen boxes request grants."""
@@ -115,7 +117,7 @@
                 pending_asks -= 1.0
                 requesters.append(self.boxes[self.rng.choice(names)])
             asks = [
-                asyncio.ensure_future(box.grants.take(ENDPOINT))
+                asyncio.ensure_future(box.grants.acquire(ENDPOINT))
                 for box in requesters
             ]
             await self.settle()
--- a/tests/limited_replicas.py
+++ b/tests/limited_replicas.py
@@ -31,7 +31,9 @@
     return made
 
 
-def say(fleet: boxes.Boxes, made: LimitedReplica, limit: float) -> None:
+def report_limit(
+    fleet: boxes.Boxes, made: LimitedReplica, limit: float
+) -> None:
     """Reports a limit to all boxes as if the replica had announced it."""
     for box in fleet.gateways:
-        box.limits.say(made.id, limit, time.monotonic())
+        box.limits.report_limit(made.id, limit, time.monotonic())
--- a/tests/linked_boxes.py
+++ b/tests/linked_boxes.py
@@ -38,7 +38,7 @@
     def boxes(self) -> list[str]:
         return sorted(self.links)
 
-    def believed(self) -> list[str]:
+    def live_members(self) -> list[str]:
         return list(self._fleet.nodes)
 
     def send(self, box: str, message: Any) -> bool:
@@ -65,7 +65,7 @@
                 names = [n for n, o in self.nodes.items() if o.zone == zone]
                 if zone != node.zone:
                     order = rendezvous.ranked(names, node.name)
-                    names = order[: hub.LINKS_TO_OTHER_ZONE]
+                    names = order[: hub.LINKS_PER_REMOTE_ZONE]
                 for name in names:
                     if name != node.name:
                         node.links.add(name)
--- a/tests/telling_table.py
+++ b/tests/notice_table.py
@@ -1,6 +1,6 @@
 """Runs trials with endpoints that announce leaving or request a back-off.
 
-    python -m tests.telling_table ROW[,ROW...] FIRST_SEED LAST_SEED
+    python -m tests.notice_table ROW[,ROW...] FIRST_SEED LAST_SEED
 
 Prints one line per row and seed. `ROWS` defines the rows.
 """
@@ -40,7 +40,7 @@
     """Runs one row with one seed and returns the line to print."""
     trial = Trial(seed=seed, **ROWS[row])  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(trial)
-    outcome = await fleet.run(builders.patient_config_document())
+    outcome = await fleet.run(builders.relaxed_config_document())
     work = outcome.work_of_returned(fleet.names(trial_fleet.PLAIN))
     return (
         f"{row} seed {seed}: late {outcome.late_from_told} from told"
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -10,7 +10,7 @@
 from martenjunction import model
 from tests import routing_builders as builders
 
-HOLD_UP_S = 0.15
+BLOCK_S = 0.15
 
 
 class RawPeer:
@@ -45,7 +45,7 @@
         self._listener.close()
 
 
-def hold_up(seconds: float = HOLD_UP_S) -> None:
+def block_event_loop(seconds: float = BLOCK_S) -> None:
     """Blocks the event loop, as a wait for a processor core does."""
     time.sleep(seconds)
 
@@ -59,6 +59,6 @@
     return dataclasses.replace(builders.endpoint(), address=peer.address)
 
 
-def no_descriptors(*_: object, **__: object) -> NoReturn:
+def raise_emfile(*_: object, **__: object) -> NoReturn:
     """Replaces a socket call in a process without free file descriptors."""
     raise OSError(errno.EMFILE, "Too many open files")
--- a/tests/restore_table.py
+++ b/tests/restore_table.py
@@ -84,7 +84,8 @@
         fleet.store.write("other-kind", "one", {"number": number})
     await boxes.until(
         lambda: all(
-            box.listed.may_send(late.id) and not box.listed.may_send(ended.id)
+            box.endpoint_list.is_ready(late.id)
+            and not box.endpoint_list.is_ready(ended.id)
             for box in fleet.gateways
         )
     )
@@ -118,9 +119,11 @@
         return fleet.store.find(documents.BOX_KIND, "box-late") is not None
 
     conditions = {
-        "leaving": all_boxes(lambda box: not box.listed.may_send(leaving_id)),
-        "joined": all_boxes(lambda box: box.listed.may_send(joined.id)),
-        "config": all_boxes(lambda box: box.picture.version == 9),
+        "leaving": all_boxes(
+            lambda box: not box.endpoint_list.is_ready(leaving_id)
+        ),
+        "joined": all_boxes(lambda box: box.endpoint_list.is_ready(joined.id)),
+        "config": all_boxes(lambda box: box.store_cache.version == 9),
         "own-entry": own_entry_restored,
     }
     elapsed: dict[str, float] = {}
@@ -132,10 +135,10 @@
             if name not in elapsed and condition():
                 elapsed[name] = time.monotonic() - started_at
         ended_served |= any(
-            box.listed.may_send(ended_id) for box in fleet.gateways
+            box.endpoint_list.is_ready(ended_id) for box in fleet.gateways
         )
         late_lost |= any(
-            not box.listed.may_send(late_id) for box in fleet.gateways
+            not box.endpoint_list.is_ready(late_id) for box in fleet.gateways
         )
         await asyncio.sleep(0.005)
     times = " ".join(
--- a/tests/routing_builders.py
+++ b/tests/routing_builders.py
@@ -6,7 +6,7 @@
 from martenjunction import model
 from martenjunction import revisions
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import engine_figures
+from martenjunction.decisions.boxes import engine_profiles
 from martenjunction.platform import box_settings
 from martenjunction.platform import documents
 
@@ -91,7 +91,7 @@
     }
 
 
-def patient_config_document() -> dict[str, Any]:
+def relaxed_config_document() -> dict[str, Any]:
     """Returns a configuration with latency targets for a loaded machine.
 
     With the default targets, requests are shed because the machine is slow.
@@ -130,7 +130,7 @@
 
 # Learned profile of an engine with a prefill rate of 50,000 tokens per second,
 # whose streams get a token every 43.1 ms during prefill.
-FIGURES = engine_figures.EngineFigures(50_000.0, 0.0431)
+FIGURES = engine_profiles.EngineProfile(50_000.0, 0.0431)
 
 
 def demand(
@@ -148,7 +148,7 @@
         "urgency": 1,
         "shortest_pause_s": 0.25,
         "tokens_per_event": 6,
-        "figures": FIGURES,
+        "profile": FIGURES,
     }
     values.update(changes)
     return endpoint_records.Demand(**values)
