--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from martenjunction.decisions.boxes import key_freshness
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import store_readers
 from martenjunction.platform import headers
 from martenjunction.routing import admission
@@ -17,14 +17,14 @@
 from tests import routing_builders as builders
 
 CHANGE_S = 2.0
-SERVED_S = CHANGE_S * key_freshness.SERVED_BEHIND_PART
+SERVED_S = CHANGE_S * config_freshness.MAX_LAG_FRACTION
 
 
-def freshness() -> key_freshness.ConfigFreshness:
-    return key_freshness.ConfigFreshness(5.0, 0.25, CHANGE_S)
+def freshness() -> config_freshness.ConfigFreshness:
+    return config_freshness.ConfigFreshness(5.0, 0.25, CHANGE_S)
 
 
-def facts(key: str = builders.KEY) -> headers.RequestFacts:
+def facts(key: str = builders.KEY) -> headers.RequestMetadata:
     return headers.decode_request(
         [
             (b"Host", builders.HOST.encode()),
@@ -35,27 +35,27 @@
 
 def test_box_lags_until_it_has_the_newest_version() -> None:
     known = freshness()
-    assert known.heard_of(8, 1.0)
-    assert not known.heard_of(8, 1.5)
-    assert known.heard_of(9, 1.6)
-    assert not known.lags(0.9 + SERVED_S)
-    assert known.lags(1.1 + SERVED_S)
-    assert known.caught_up(8, 3.0) == pytest.approx(2.0)
-    assert known.behind_s(3.0) == pytest.approx(1.4)
-    known.caught_up(9, 3.1)
-    assert not known.lags(100.0)
+    assert known.note_newer_version(8, 1.0)
+    assert not known.note_newer_version(8, 1.5)
+    assert known.note_newer_version(9, 1.6)
+    assert not known.is_lagging(0.9 + SERVED_S)
+    assert known.is_lagging(1.1 + SERVED_S)
+    assert known.note_applied_version(8, 3.0) == pytest.approx(2.0)
+    assert known.lag_s(3.0) == pytest.approx(1.4)
+    known.note_applied_version(9, 3.1)
+    assert not known.is_lagging(100.0)
 
 
 def test_version_known_only_to_a_lost_box_does_not_stop_serving() -> None:
     known = freshness()
-    known.heard_of(9, 0.0)
-    known.nobody_has(above=8)
-    assert not known.lags(100.0)
+    known.note_newer_version(9, 0.0)
+    known.drop_versions_above(above=8)
+    assert not known.is_lagging(100.0)
 
 
-def admitter(known: key_freshness.ConfigFreshness) -> admission.Admitter:
+def admitter(known: config_freshness.ConfigFreshness) -> admission.Admitter:
     made = admission.Admitter(known, False, random.Random(1))
-    made.put_in_force(builders.config(7))
+    made.activate(builders.config(7))
     return made
 
 
@@ -66,7 +66,7 @@
     known = freshness()
     judge = admitter(known)
     admitted = judge.admit(facts(), "/safe/x", 0.0)
-    known.heard_of(8, 0.0)
+    known.note_newer_version(8, 0.0)
     late = SERVED_S + 0.1
     with pytest.raises(admission.RefusalError) as refusal:
         judge.admit(facts(), "/safe/x", late)
@@ -92,14 +92,14 @@
     # request waits in its box, which was observed to take up to 0.9 s.
     judge = admitter(freshness())
     admitted = judge.admit(facts(), "/safe/x", 0.0)
-    judge.put_in_force(builders.config(8, **changes))
+    judge.activate(builders.config(8, **changes))
     assert not judge.still_allowed(admitted, 0.0, 0.5)
 
 
 def test_waiting_request_proceeds_if_its_route_is_unchanged() -> None:
     judge = admitter(freshness())
     admitted = judge.admit(facts(), "/safe/x", 0.0)
-    judge.put_in_force(builders.config(8))
+    judge.activate(builders.config(8))
     assert judge.still_allowed(admitted, 0.0, 0.5)
 
 
@@ -142,7 +142,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.picture.version == 7)
+    await boxes.until(lambda: box.store_cache.version == 7)
     spec = spread.document(9, 3)
     newer = config_documents.ConfigDocuments()
     newer.add(9, spec)
@@ -150,12 +150,12 @@
     assert update is not None
     broken = dataclasses.replace(update, delta=b"rubbish")
     box.sync._on_config_update("box-2", broken)
-    assert box.picture.version == 7
+    assert box.store_cache.version == 7
     box.sync._on_config_update("box-2", update)
-    assert box.picture.version == 9
-    stale = peer_messages.ConfigNews(8, 0, 0, b"")
+    assert box.store_cache.version == 9
+    stale = peer_messages.ConfigUpdate(8, 0, 0, b"")
     box.sync._on_config_update("box-2", stale)
-    assert box.picture.version == 9
+    assert box.store_cache.version == 9
 
 
 async def test_box_whose_document_differs_requests_the_full_one(
@@ -163,7 +163,7 @@
 ) -> None:
     # Guards against requesting a delta to a document that the box lacks.
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.picture.version == 7)
+    await boxes.until(lambda: box.store_cache.version == 7)
     asked: list[peer_messages.AskView] = []
 
     def send(peer: str, message: peer_messages.AskView) -> bool:
@@ -179,7 +179,7 @@
     whole = other.update_for(0)
     assert whole is not None
     box.sync._on_config_update("box-2", whole)
-    assert box.picture.version == 8
+    assert box.store_cache.version == 8
     box.sync._query("box-3")
     assert asked[-1].version == 8
 
@@ -189,8 +189,8 @@
 ) -> None:
     await requests.two_plain(fleet)
     box = fleet.gateways[0]
-    box.freshness.heard_of(99, box.timers.now() - CHANGE_S)
-    assert box.freshness.lags(box.timers.now())
+    box.freshness.note_newer_version(99, box.timers.now() - CHANGE_S)
+    assert box.freshness.is_lagging(box.timers.now())
     assert not box.dump()["ready"]
 
 
@@ -200,14 +200,17 @@
 def test_box_with_the_widest_link_reads() -> None:
     # Guards against electing a reader without regard to its bandwidth: a box
     # with 5 Mbit/s would have to read 370 kB every 0.6 s.
-    wide = store_readers.PeerAge("wide", True, 0.1, 12_500)
-    thin = [store_readers.PeerAge(f"b{n}", False, 0.1, 625) for n in range(20)]
+    wide = store_readers.PeerReaderState("wide", True, 0.1, 12_500)
+    thin = [
+        store_readers.PeerReaderState(f"b{n}", False, 0.1, 625)
+        for n in range(20)
+    ]
     own = store_readers.ReaderRole("own", 625)
     assert not own.decide([wide, *thin], 0.1, 0.0)
-    assert not own.first
+    assert not own.is_first
     widest = store_readers.ReaderRole("own", 12_500)
     widest.decide(thin, 0.1, 0.0)
-    assert widest.first
+    assert widest.is_first
 
 
 def test_large_documents_are_read_less_often_over_slow_links() -> None:
@@ -215,4 +218,4 @@
     assert pause(15_000, 625_000.0) == store_readers.CONFIRM_INTERVAL_S
     assert pause(370_000, 12_500_000.0) == store_readers.CONFIRM_INTERVAL_S
     assert pause(370_000, 1_250_000.0) == pytest.approx(1.48)
-    assert pause(4_000_000, 625_000.0) == store_readers.LONGEST_INTERVAL_S
+    assert pause(4_000_000, 625_000.0) == store_readers.MAX_CONFIRM_INTERVAL_S
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -8,7 +8,7 @@
 from martenjunction.cells import broker
 from martenjunction.cells import directory
 from martenjunction.cells import messages
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from tests import builders
 
 
@@ -36,7 +36,7 @@
         return self.broker.place(builders.ask(arrived=9.0), "s")
 
     def grant(self, sender: str, cell: str = "s/r/0") -> None:
-        self.broker.receive(sender, messages.PlaceGranted(cell, "r1", "e1"))
+        self.broker.receive(sender, messages.SlotGranted(cell, "r1", "e1"))
 
 
 def cells(name: str, *endpoints: str) -> directory.Cells:
@@ -51,8 +51,8 @@
     fleet.broker.reassign()
     box, message = fleet.sent[-1]
     assert box == "box-3"
-    assert isinstance(message, messages.AskPlace)
-    assert message.firm
+    assert isinstance(message, messages.SlotRequested)
+    assert message.exempt_from_shedding
     assert message.age == 1.0
 
 
@@ -80,7 +80,7 @@
     box, message = fleet.sent[-1]
     assert box == sender
     assert isinstance(message, messages.Withdraw)
-    assert len(ticket.verdicts) == 1
+    assert len(ticket.placement_results) == 1
 
 
 def test_request_of_a_removed_cell_moves_to_the_cell_of_its_endpoint() -> None:
@@ -118,7 +118,7 @@
     fleet = Fleet()
     ticket = fleet.place()
     fleet.grant("box-2")
-    end = asks.RunEnd("r1", asks.Ending.COMPLETE)
+    end = dispatch_types.RunEnd("r1", dispatch_types.Ending.COMPLETE)
     fleet.broker.ended(ticket, end)
     fleet.broker.ended(ticket, end)
     ends = [m for _, m in fleet.sent if isinstance(m, messages.RunEnded)]
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -188,7 +188,7 @@
     assert len(relays) == 1
     assert 0 < seen[-1] < 60_000
     held_bytes = next(iter(relays.values())).buffered
-    assert held_bytes <= streams.MAX_BUFFERED + CURL_CHUNK_BYTES
+    assert held_bytes <= streams.MAX_BUFFERED_BYTES + CURL_CHUNK_BYTES
     own.close()
 
 
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -30,7 +30,7 @@
 async def test_request_on_a_closed_connection_is_not_run(
     fleet: bench.Bench, passes: int
 ) -> None:
-    callers = await builders.callers_of(fleet)
+    callers = await builders.connect_callers(fleet)
     for caller in callers:
         caller.send(
             builders.request(
@@ -50,7 +50,7 @@
 async def test_request_of_a_disconnected_caller_is_not_run(
     fleet: bench.Bench,
 ) -> None:
-    callers = await builders.callers_of(fleet)
+    callers = await builders.connect_callers(fleet)
     for caller in callers:
         caller.send(
             builders.request(
@@ -69,7 +69,7 @@
 ) -> None:
     (service,) = fleet.outside.plains.values()
     service.faults = plain.PlainFaults(delay_s=builders.SHORT_TIMEOUT_S)
-    running_call, waiting_call = await builders.callers_of(fleet, 2)
+    running_call, waiting_call = await builders.connect_callers(fleet, 2)
     for caller, booking in ((running_call, "first"), (waiting_call, "second")):
         caller.send(
             builders.request(
@@ -89,7 +89,7 @@
 ) -> None:
     (service,) = fleet.outside.plains.values()
     service.faults = plain.PlainFaults(delay_s=builders.SHORT_TIMEOUT_S)
-    (caller,) = await builders.callers_of(fleet, 1)
+    (caller,) = await builders.connect_callers(fleet, 1)
     caller.send(
         builders.request(
             builders.PLAIN_CALL, b"lot", {plain.BOOKING_HEADER: "first"}
@@ -114,12 +114,12 @@
 
     def put_and_disconnect(box: mailbox.Mailbox[Any], item: Any) -> None:
         put(box, item)
-        if isinstance(item, messages.PlaceGranted):
+        if isinstance(item, messages.SlotGranted):
             granted.append(item.request_id)
             relays[item.request_id].stop(broker.StopReason.CALLER_LEFT)
 
     monkeypatch.setattr(mailbox.Mailbox, "put", put_and_disconnect)
-    callers = await builders.callers_of(fleet)
+    callers = await builders.connect_callers(fleet)
     for caller in callers:
         caller.send(
             builders.request(
@@ -137,7 +137,7 @@
 async def test_handler_ends_when_its_caller_disconnects_within_a_body(
     fleet: bench.Bench,
 ) -> None:
-    callers = await builders.callers_of(fleet)
+    callers = await builders.connect_callers(fleet)
     for caller in callers:
         caller.send(builders.request(builders.CHAT, builders.chat(5))[:-10])
     await asyncio.sleep(builders.LEAD_S)
--- a/tests/test_callers_stop.py
+++ b/tests/test_callers_stop.py
@@ -33,7 +33,7 @@
 async def test_shutdown_waits_for_a_request_that_is_being_read(
     fleet: bench.Bench,
 ) -> None:
-    callers = await builders.callers_of(fleet, 2)
+    callers = await builders.connect_callers(fleet, 2)
     whole = builders.request(builders.CHAT, builders.chat(5, stream=False))
     in_head, in_body = 20, len(whole) - 10
     callers[0].send(whole[:in_head])
@@ -55,7 +55,7 @@
 async def test_connections_are_not_kept_alive_during_a_shutdown(
     fleet: bench.Bench,
 ) -> None:
-    idle, active = await builders.callers_of(fleet, 2)
+    idle, active = await builders.connect_callers(fleet, 2)
     active.send(
         builders.request(builders.CHAT, builders.chat(60, stream=False))
     )
@@ -103,7 +103,7 @@
     async with builders.running(
         builders.spec(drain_limit=builders.SHORT_TIMEOUT_S)
     ) as fleet:
-        callers = await builders.callers_of(fleet)
+        callers = await builders.connect_callers(fleet)
         whole, streamed = callers[:6], callers[6:]
         for caller in whole:
             caller.send(
@@ -139,7 +139,7 @@
     async with builders.running(
         builders.spec(drain_limit=builders.SHORT_TIMEOUT_S)
     ) as fleet:
-        caller, active = await builders.callers_of(fleet, 2)
+        caller, active = await builders.connect_callers(fleet, 2)
         whole = builders.request(builders.CHAT, builders.chat(5, stream=False))
         caller.send(whole[:-10])
         active.send(
@@ -164,7 +164,7 @@
 async def test_response_racing_with_the_drain_limit_is_consistent(
     fleet: bench.Bench, passes: int
 ) -> None:
-    callers = await builders.callers_of(fleet)
+    callers = await builders.connect_callers(fleet)
     for caller in callers:
         caller.send(
             builders.request(builders.CHAT, builders.chat(1, stream=False))
@@ -189,7 +189,7 @@
 async def test_immediate_stop_logs_the_requests_that_it_aborts(
     fleet: bench.Bench, log_lines: list[dict[str, Any]]
 ) -> None:
-    (caller,) = await builders.callers_of(fleet, 1)
+    (caller,) = await builders.connect_callers(fleet, 1)
     caller.send(
         builders.request(builders.CHAT, builders.chat(builders.UNENDING_TOKENS))
     )
@@ -205,7 +205,7 @@
 ) -> None:
     (service,) = fleet.outside.plains.values()
     service.faults = plain.PlainFaults(break_off=True)
-    (caller,) = await builders.callers_of(fleet, 1)
+    (caller,) = await builders.connect_callers(fleet, 1)
     caller.send(builders.request(builders.PLAIN_CALL, b"lot"))
     await builders.wait_until_in_flight(fleet, 1)
     (held,) = fleet.daemons[0].callers.relays
--- a/tests/test_callers_times.py
+++ b/tests/test_callers_times.py
@@ -28,7 +28,7 @@
 ) -> None:
     monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
-        callers = await builders.callers_of(fleet)
+        callers = await builders.connect_callers(fleet)
         await asyncio.sleep(builders.SHORT_TIMEOUT_S - builders.LEAD_S)
         for caller in callers:
             caller.send(builders.request(builders.MODELS))
@@ -42,7 +42,7 @@
 ) -> None:
     monkeypatch.setattr(listeners, "IDLE_CONNECTION", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
-        for caller in await builders.callers_of(fleet):
+        for caller in await builders.connect_callers(fleet):
             assert await caller.read_remaining() == b""
 
 
@@ -54,7 +54,7 @@
         http_server, "HEAD_TIMEOUT", 2 * builders.SHORT_TIMEOUT_S
     )
     async with builders.running(builders.spec()) as fleet:
-        late, never = await builders.callers_of(fleet, 2)
+        late, never = await builders.connect_callers(fleet, 2)
         whole = builders.request(builders.MODELS)
         for caller in (late, never):
             caller.send(whole[:20])
@@ -74,7 +74,7 @@
 ) -> None:
     monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
-        callers = await builders.callers_of(fleet)
+        callers = await builders.connect_callers(fleet)
         whole = builders.request(builders.CHAT, builders.chat(5, stream=False))
         for caller in callers:
             caller.send(whole[:-10])
@@ -91,7 +91,7 @@
 ) -> None:
     monkeypatch.setattr(listeners, "BODY_TIMEOUT", builders.SHORT_TIMEOUT_S)
     async with builders.running(builders.spec()) as fleet:
-        (caller,) = await builders.callers_of(fleet, 1)
+        (caller,) = await builders.connect_callers(fleet, 1)
         caller.send(builders.request(builders.CHAT, builders.chat(5))[:-10])
         status, head, _ = await caller.read_response()
         assert (status, builders.header_value(head, http_headers.OUTCOME)) == (
--- a/tests/test_cell_limits.py
+++ b/tests/test_cell_limits.py
@@ -10,7 +10,7 @@
 import pytest
 
 from martenjunction import http_headers
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.endpoints import streams
 from martenjunction_lab import bench
@@ -48,9 +48,9 @@
         for ends, request_id, endpoint in list(running):
             if ends <= now:
                 running.remove((ends, request_id, endpoint))
-                end = asks.RunEnd(
+                end = dispatch_types.RunEnd(
                     request_id,
-                    asks.Ending.COMPLETE,
+                    dispatch_types.Ending.COMPLETE,
                     answered=True,
                     limit_per_s=limits[endpoint],
                 )
@@ -58,7 +58,7 @@
         cell.submit(builders.ask(f"r{now:.2f}", arrived=now), now)
         cell.review(now)
         for grant in cell.step(now):
-            if isinstance(grant, asks.Grant):
+            if isinstance(grant, dispatch_types.Grant):
                 grants.append((now, grant.endpoint))
                 running.append((now + RUN_S, grant.request_id, grant.endpoint))
     return grants
@@ -89,8 +89,8 @@
     cell = builders.cell(endpoints=1, slots=8)
     cell.submit(builders.ask("first"), 0.0)
     assert len(cell.step(0.0)) == 1
-    end = asks.RunEnd(
-        "first", asks.Ending.COMPLETE, answered=True, limit_per_s=1e9
+    end = dispatch_types.RunEnd(
+        "first", dispatch_types.Ending.COMPLETE, answered=True, limit_per_s=1e9
     )
     cell.ended(end, 0.1)
     for number in range(8):
@@ -104,8 +104,11 @@
         cell.submit(builders.ask(name), 0.0)
     assert len(cell.step(0.0)) == 2
     for name, limit, now in (("short", 2.0, 1.0), ("long", None, 1.1)):
-        end = asks.RunEnd(
-            name, asks.Ending.COMPLETE, answered=True, limit_per_s=limit
+        end = dispatch_types.RunEnd(
+            name,
+            dispatch_types.Ending.COMPLETE,
+            answered=True,
+            limit_per_s=limit,
         )
         cell.ended(end, now)
     cell.submit(builders.ask("third"), 1.1)
@@ -129,9 +132,9 @@
     limited.faults.limit = "0"
     # Makes the idle, limited engine the preferred one.
     serving.faults.slow = 5.0
-    callers = await caller_builders.callers_of(fleet, 4)
+    callers = await caller_builders.connect_callers(fleet, 4)
     began = time.monotonic()
-    await caller_builders.ask_in_rounds(callers, 8)
+    await caller_builders.send_in_rounds(callers, 8)
     windows = 1 + (time.monotonic() - began) / limit_outcome.WINDOW_S
     # Requests sent before its first response, and those allowed by the limit.
     most = len(callers) + windows * limit_outcome.allowed(0.0)
--- a/tests/test_cell_rests.py
+++ b/tests/test_cell_rests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from martenjunction import errors
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.endpoints import engine_protocol
 from martenjunction.endpoints import plain_protocol
@@ -20,21 +20,23 @@
 fleet = caller_builders.fleet
 
 REST_S = 3.0
-REFUSED = asks.Ending.REFUSED
+REFUSED = dispatch_types.Ending.REFUSED
 
 
 def grants(cell: dispatcher.Dispatcher, now: float) -> list[tuple[str, str]]:
     return [
         (decision.request_id, decision.endpoint)
         for decision in cell.step(now)
-        if isinstance(decision, asks.Grant)
+        if isinstance(decision, dispatch_types.Grant)
     ]
 
 
 def refuse(
     cell: dispatcher.Dispatcher, request_id: str, now: float, rest_s: float
 ) -> None:
-    cell.ended(asks.RunEnd(request_id, REFUSED, rest_s=rest_s), now)
+    cell.ended(
+        dispatch_types.RunEnd(request_id, REFUSED, backoff_s=rest_s), now
+    )
 
 
 def cell_in_backoff(**changes: int) -> dispatcher.Dispatcher:
@@ -76,7 +78,7 @@
 def test_request_with_less_patience_than_the_backoff_is_shed_at_once() -> None:
     cell = cell_in_backoff()
     [shed] = cell.submit(builders.ask("second", patience=1.0), 0.1)
-    assert isinstance(shed, asks.Shed)
+    assert isinstance(shed, dispatch_types.Shed)
     # At least the excess of the back-off over the patience, plus jitter.
     assert REST_S - 1.0 <= shed.retry_after <= 2 * REST_S
     assert cell.submit(builders.ask("third", patience=9.0), 0.1) == []
@@ -103,13 +105,13 @@
 def test_refusal_contains_the_backoff(
     protocol: object, value: str | None, rest_s: float
 ) -> None:
-    pairs = [(plain_protocol.RAN_HEADER, "no")]
+    pairs = [(plain_protocol.EXECUTED_HEADER, "no")]
     if value is not None:
         pairs.append(("Retry-After", value))
     head = streams.ResponseHead(503, pairs)
     with pytest.raises(errors.EndpointRefusedError) as refusal:
         protocol.check_head(head, "r1")  # type: ignore[attr-defined]
-    assert refusal.value.rest_s == rest_s
+    assert refusal.value.backoff_s == rest_s
 
 
 async def test_all_callers_respect_the_backoff_of_an_engine(
@@ -120,8 +122,8 @@
     resting.faults.rest_s = 60.0
     # Makes the refusing engine the preferred one.
     serving.faults.slow = 5.0
-    callers = await caller_builders.callers_of(fleet, 4)
-    await caller_builders.ask_in_rounds(callers, 8)
+    callers = await caller_builders.connect_callers(fleet, 4)
+    await caller_builders.send_in_rounds(callers, 8)
     # Requests in flight at its first refusal.
     assert 0 < resting.counts.refused <= len(callers)
     assert serving.counts.started.total() == 8 * len(callers)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -209,7 +209,7 @@
 def test_owners_in_the_zone_of_the_cell_rank_first() -> None:
     cell = directory.CellInfo("s/r/1/0", "s", "r/1", ())
     boxes = [
-        directory.BoxPlace(f"box-{number}", f"r/{number % 2}")
+        directory.BoxLocation(f"box-{number}", f"r/{number % 2}")
         for number in range(6)
     ]
     ranking = directory.owner_ranking(cell, boxes)
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,14 +1,16 @@
 """Tests of the dispatcher's rules."""
 
 from martenjunction.decisions import endpoint_states
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.decisions.cells import tiers
 from tests import builders
 
 
-def granted(decisions: list[asks.Decision]) -> list[str]:
-    return [d.request_id for d in decisions if isinstance(d, asks.Grant)]
+def granted(decisions: list[dispatch_types.Decision]) -> list[str]:
+    return [
+        d.request_id for d in decisions if isinstance(d, dispatch_types.Grant)
+    ]
 
 
 def test_highest_tier_is_granted_first() -> None:
@@ -89,8 +91,8 @@
     for number in range(20):
         cell.submit(builders.ask(f"w{number}"), 0.0)
     decisions = cell.submit(builders.ask("late", patience=0.5), 0.0)
-    assert [type(d) for d in decisions] == [asks.Shed]
-    assert isinstance(decisions[0], asks.Shed)
+    assert [type(d) for d in decisions] == [dispatch_types.Shed]
+    assert isinstance(decisions[0], dispatch_types.Shed)
     assert decisions[0].retry_after >= 1.0
 
 
@@ -119,7 +121,7 @@
     cell = builders.cell()
     for number in range(20):
         cell.submit(builders.ask(f"w{number}"), 0.0)
-    late = builders.ask("moved", patience=0.0, firm=True)
+    late = builders.ask("moved", patience=0.0, exempt_from_shedding=True)
     assert cell.submit(late, 0.0) == []
 
 
@@ -147,7 +149,7 @@
         cell.submit(builders.ask(f"low{number}", tier=4), 0.0)
     for number in range(20):
         cell.submit(builders.ask(f"high{number}"), 0.0)
-    return sum(ask.tier == 1 for ask in cell.waiting_asks())
+    return sum(ask.tier == 1 for ask in cell.waiting_requests())
 
 
 def test_urgent_request_preempts_the_newest_run_of_the_lowest_tier() -> None:
@@ -161,7 +163,7 @@
     cell.submit(builders.ask("urgent", target=0.3, arrived=0.2), 0.2)
     decisions = cell.step(0.2)
     assert [d.request_id for d in decisions] == ["t4-0.1"]
-    assert isinstance(decisions[0], asks.Preempt)
+    assert isinstance(decisions[0], dispatch_types.Preempt)
 
 
 def test_nothing_is_preempted_for_a_tier_that_is_not_higher() -> None:
@@ -203,16 +205,16 @@
     for number in range(3):
         cell.submit(builders.ask(f"r{number}"), 0.0)
     decisions = cell.step(0.0)
-    assert [d.endpoint for d in decisions if isinstance(d, asks.Grant)] == [
-        "e2"
-    ]
+    assert [
+        d.endpoint for d in decisions if isinstance(d, dispatch_types.Grant)
+    ] == ["e2"]
 
 
 def test_failed_endpoint_is_avoided() -> None:
     cell = builders.cell(endpoints=2, slots=4)
     cell.submit(builders.ask("again", avoid=frozenset({"e1"})), 0.0)
     grant = cell.step(0.0)[0]
-    assert isinstance(grant, asks.Grant)
+    assert isinstance(grant, dispatch_types.Grant)
     assert grant.endpoint == "e2"
 
 
@@ -226,7 +228,7 @@
         for name, seconds in (("e2", 0.05), ("e3", 0.05)):
             for run in list(cell.endpoints[name].runs.values()):
                 cell.first_token(run.ask.request_id, seconds, now)
-        cell.report(asks.LoadReport("e1", now, 0, 0), now)
+        cell.report(dispatch_types.LoadReport("e1", now, 0, 0), now)
         cell.review(now)
     state = cell.endpoints["e1"].health.state
     assert state is endpoint_states.EndpointState.EJECTED
@@ -239,7 +241,9 @@
             name = f"r{round_number}-{number}"
             cell.submit(builders.ask(name), 0.0)
         for decision in cell.step(0.0):
-            end = builders.end(decision.request_id, asks.Ending.BROKEN)
+            end = builders.end(
+                decision.request_id, dispatch_types.Ending.BROKEN
+            )
             cell.ended(end, 0.0)
     states = [e.health.state for e in cell.endpoints.values()]
     assert states.count(endpoint_states.EndpointState.EJECTED) == 1
@@ -247,7 +251,7 @@
 
 def test_ejected_endpoint_is_reinstated_by_a_probe() -> None:
     cell = builders.cell(endpoints=2, slots=2)
-    cell.silent("e1", 0.0)
+    cell.mark_unreachable("e1", 0.0)
     assert cell.endpoints["e1"].free(1.0) == 0
     cell.review(4.0)
     for number in range(3):
@@ -261,10 +265,10 @@
 
 def test_unreachable_endpoint_is_reinstated_by_a_load_report() -> None:
     cell = builders.cell(endpoints=2, slots=2)
-    cell.silent("e1", 0.0)
+    cell.mark_unreachable("e1", 0.0)
     state = cell.endpoints["e1"].health.state
     assert state is endpoint_states.EndpointState.EJECTED
-    cell.report(asks.LoadReport("e1", 0.5, 0, 0), 0.5)
+    cell.report(dispatch_types.LoadReport("e1", 0.5, 0, 0), 0.5)
     state = cell.endpoints["e1"].health.state
     assert state is endpoint_states.EndpointState.ROUTING
 
@@ -273,7 +277,7 @@
     cell = builders.cell(endpoints=2, slots=2)
     health = cell.endpoints["e1"].health
     health.move(endpoint_states.EndpointEvent.OUTLIER, 0.0)
-    cell.report(asks.LoadReport("e1", 0.5, 0, 0), 0.5)
+    cell.report(dispatch_types.LoadReport("e1", 0.5, 0, 0), 0.5)
     assert health.state is endpoint_states.EndpointState.EJECTED
 
 
@@ -281,15 +285,15 @@
     cell = builders.cell(slots=4)
     cell.submit(builders.ask("ours"), 1.0)
     cell.step(1.0)
-    cell.report(asks.LoadReport("e1", 0.5, 0, 0), 1.1)
+    cell.report(dispatch_types.LoadReport("e1", 0.5, 0, 0), 1.1)
     assert cell.endpoints["e1"].busy == 1
-    cell.report(asks.LoadReport("e1", 1.05, 3, 0), 1.2)
+    cell.report(dispatch_types.LoadReport("e1", 1.05, 3, 0), 1.2)
     assert cell.endpoints["e1"].busy == 3
 
 
 def test_adopted_runs_occupy_their_slots() -> None:
     cell = builders.cell()
-    cell.adopt(asks.Run(builders.ask("moved"), "e1", 0.0))
+    cell.adopt(dispatch_types.Run(builders.ask("moved"), "e1", 0.0))
     cell.submit(builders.ask("next"), 0.0)
     assert cell.step(0.0) == []
     cell.ended(builders.end("moved"), 0.1)
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -101,7 +101,7 @@
     # connection slot of the endpoint each time: the error of the socket call
     # propagated from acquire unconverted and bypassed its accounting.
     connections = pool.EndpointPool(lambda _: 4)
-    monkeypatch.setattr(client.socket, "socket", raw_peers.no_descriptors)
+    monkeypatch.setattr(client.socket, "socket", raw_peers.raise_emfile)
     with pytest.raises(errors.EndpointBusyError):
         await connections.acquire(raw_peers.endpoint_at(peer), True)
     assert connections.open_connections("e1") == 0
@@ -115,9 +115,9 @@
     # expires in the same iteration, and the timeout cancelled the task that the
     # connection had woken.
     connection = client.ClientConnection(peer.address)
-    opening = asyncio.create_task(connection.open(raw_peers.HOLD_UP_S / 3))
+    opening = asyncio.create_task(connection.open(raw_peers.BLOCK_S / 3))
     await asyncio.sleep(0)
-    raw_peers.hold_up()
+    raw_peers.block_event_loop()
     await opening
     assert connection.is_reusable()
     connection.abort()
@@ -129,7 +129,7 @@
     host, port = listener.getsockname()
     waiting = [client.ClientConnection(f"{host}:{port}") for _ in range(4)]
     opened = await asyncio.gather(
-        *(connection.open(raw_peers.HOLD_UP_S) for connection in waiting),
+        *(connection.open(raw_peers.BLOCK_S) for connection in waiting),
         return_exceptions=True,
     )
     assert any(isinstance(result, errors.ConnectError) for result in opened)
--- a/tests/test_endpoint_failures.py
+++ b/tests/test_endpoint_failures.py
@@ -11,7 +11,7 @@
 
 from martenjunction_lab import bench
 from martenjunction_lab import boxes
-from tests import kept_connections
+from tests import keep_alive_connections
 from tests import routing_builders as builders
 from tests import test_planned_stop
 
@@ -81,9 +81,9 @@
         },
     )
     box = fleet.gateways[0]
-    await boxes.until(lambda: endpoint.id in box.listed.entries)
+    await boxes.until(lambda: endpoint.id in box.endpoint_list.entries)
     await boxes.until(lambda: bool(box.dump()["ready"]))
-    connection = kept_connections.KeptConnection()
+    connection = keep_alive_connections.KeptConnection()
     await connection.connect(fleet.addresses[0])
     connection.send(test_planned_stop.raw_request("r1", path))
     answer = await connection.answer()
--- a/tests/test_endpoint_limits.py
+++ b/tests/test_endpoint_limits.py
@@ -10,33 +10,33 @@
 from martenjunction.decisions.boxes import endpoint_limits
 from martenjunction_lab import limit_outcome
 
-Change = endpoint_limits.Change
+Change = endpoint_limits.LimitChange
 
 
 def table(
     per_s: float | None = 2.0, since: float = 10.0
 ) -> endpoint_limits.LimitTable:
     made = endpoint_limits.LimitTable()
-    made.say("e1", per_s, since - 0.1, since)
+    made.apply_response("e1", per_s, since - 0.1, since)
     return made
 
 
 def test_first_report_applies_whenever_its_request_was_sent() -> None:
     made = endpoint_limits.LimitTable()
-    assert made.say("e1", 2.0, 3.0, 10.0) == Change(None, 2.0)
+    assert made.apply_response("e1", 2.0, 3.0, 10.0) == Change(None, 2.0)
     assert made.per_s("e1") == 2.0
-    assert made.say("e1", 2.0, 9.0, 11.0) is None
+    assert made.apply_response("e1", 2.0, 9.0, 11.0) is None
 
 
 def test_later_response_without_limit_removes_it() -> None:
     made = table()
-    assert made.say("e1", None, 10.1, 10.2) == Change(2.0, None)
+    assert made.apply_response("e1", None, 10.1, 10.2) == Change(2.0, None)
     assert made.per_s("e1") is None
 
 
 def test_earlier_response_without_limit_does_not_remove_it() -> None:
     made = table()
-    assert made.say("e1", None, 9.9, 10.3) is None
+    assert made.apply_response("e1", None, 9.9, 10.3) is None
     assert made.per_s("e1") == 2.0
 
 
@@ -45,22 +45,22 @@
     per_s: float, held: float
 ) -> None:
     made = table()
-    made.say("e1", per_s, 9.9, 10.3)
+    made.apply_response("e1", per_s, 9.9, 10.3)
     assert made.per_s("e1") == held
 
 
 def test_looser_limit_of_a_later_response_applies() -> None:
     made = table()
-    assert made.say("e1", 5.0, 10.1, 10.3) == Change(2.0, 5.0)
+    assert made.apply_response("e1", 5.0, 10.1, 10.3) == Change(2.0, 5.0)
 
 
 def test_peer_reports_apply_by_the_time_of_first_receipt() -> None:
     made = table()
-    assert made.take("e1", 1.0, 9.9) is None
-    assert made.take("e1", None, 9.9) is None
-    assert made.take("e1", 5.0, 10.1) == Change(2.0, 5.0)
-    assert made.take("e1", None, 10.2) == Change(5.0, None)
-    assert made.take("e1", 5.0, 10.1) is None
+    assert made.apply_peer_report("e1", 1.0, 9.9) is None
+    assert made.apply_peer_report("e1", None, 9.9) is None
+    assert made.apply_peer_report("e1", 5.0, 10.1) == Change(2.0, 5.0)
+    assert made.apply_peer_report("e1", None, 10.2) == Change(5.0, None)
+    assert made.apply_peer_report("e1", 5.0, 10.1) is None
 
 
 def test_other_incarnation_has_no_limit() -> None:
@@ -70,26 +70,26 @@
 @pytest.mark.parametrize("per_s", [1000.0, 1e9])
 def test_limit_that_is_too_high_to_matter_is_none(per_s: float) -> None:
     made = endpoint_limits.LimitTable()
-    assert made.say("e1", per_s, 9.0, 10.0) is None
-    made.say("e1", 2.0, 9.0, 10.0)
-    assert made.say("e1", per_s, 10.1, 10.2) == Change(2.0, None)
+    assert made.apply_response("e1", per_s, 9.0, 10.0) is None
+    made.apply_response("e1", 2.0, 9.0, 10.0)
+    assert made.apply_response("e1", per_s, 10.1, 10.2) == Change(2.0, None)
 
 
 def test_blocked_endpoint_opens_after_a_change() -> None:
     made = table()
-    made.close("e1", 14.0)
+    made.block_until("e1", 14.0)
     assert made.opens_in_s("e1", 11.0) == 3.0
-    made.say("e1", 1.0, 10.1, 11.0)
+    made.apply_response("e1", 1.0, 10.1, 11.0)
     assert made.is_open("e1", 11.0)
 
 
 def test_reports_are_bounded_and_expire() -> None:
     made = endpoint_limits.LimitTable()
     for number in range(2 * endpoint_limits.MAX_REPORTS):
-        made.say(f"e{number}", 2.0, 0.0, 1.0)
-    assert len(made.words) == endpoint_limits.MAX_REPORTS
+        made.apply_response(f"e{number}", 2.0, 0.0, 1.0)
+    assert len(made.reports) == endpoint_limits.MAX_REPORTS
     last = f"e{2 * endpoint_limits.MAX_REPORTS - 1}"
-    made.keep_only({last}, 2.0 + endpoint_limits.REMOVAL_LIFETIME_S)
+    made.prune({last}, 2.0 + endpoint_limits.REMOVAL_LIFETIME_S)
     assert made.limited() == [last]
 
 
@@ -122,7 +122,7 @@
     limit: float, began: float, pauses: list[float]
 ) -> None:
     # The first bucket is used until all boxes know the holder of the second.
-    overlap = began + grant_bucket.FIRST_S
+    overlap = began + grant_bucket.WARM_UP_S
     times = sends(limit, 0.0, overlap, pauses)
     times += sends(limit, began, 20.0, pauses[::-1])
     if times:
@@ -147,17 +147,17 @@
 
 def test_refused_requesters_get_successive_turns() -> None:
     bucket = grant_bucket.GrantBucket(0.0)
-    limit = 1.0 / grant_bucket.FIRST_PART
+    limit = 1.0 / grant_bucket.WARM_UP_FRACTION
     waits = [bucket.take(limit, 1.0, 0.0) for _ in range(8)]
     assert waits[:2] == pytest.approx([1.0, 2.0])
-    assert set(waits[2:]) == {grant_bucket.LONGEST_TURN_S}
+    assert set(waits[2:]) == {grant_bucket.MAX_RETRY_DELAY_S}
 
 
 def test_unused_grant_is_refunded() -> None:
     bucket = grant_bucket.GrantBucket(0.0)
     assert bucket.take(2.0, 1.0, 1.0) == 0.0
     assert bucket.take(2.0, 1.0, 1.0) > 0.0
-    bucket.put_back()
+    bucket.refund()
     assert bucket.take(2.0, 1.0, 1.0) == 0.0
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -15,7 +15,7 @@
 
 def listed(*ids: str) -> endpoint_list.EndpointList:
     made = endpoint_list.EndpointList()
-    made.take_listing(
+    made.apply_listing(
         [(builders.endpoint(i), rev(1)) for i in ids], rev(5), now=0.0
     )
     return made
@@ -23,29 +23,29 @@
 
 def test_draining_endpoint_gets_no_requests_at_once() -> None:
     known = listed("e1", "e2")
-    left = known.take_change(builders.endpoint("e1", DRAINING), rev(6))
+    left = known.apply_entry(builders.endpoint("e1", DRAINING), rev(6))
     assert left == ["e1"]
-    assert not known.may_send("e1")
+    assert not known.is_ready("e1")
     assert [e.id for e in known.ready(builders.PLAIN)] == ["e2"]
 
 
 def test_draining_endpoint_does_not_become_ready_again() -> None:
     known = listed("e1")
-    known.take_change(builders.endpoint("e1", DRAINING), rev(6))
-    known.take_change(builders.endpoint("e1"), rev(7))
-    assert not known.may_send("e1")
+    known.apply_entry(builders.endpoint("e1", DRAINING), rev(6))
+    known.apply_entry(builders.endpoint("e1"), rev(7))
+    assert not known.is_ready("e1")
 
 
 def test_older_revision_does_not_restore_a_removed_entry() -> None:
     known = listed("e1")
-    assert known.take_end("e1", rev(8), 1.0) == ["e1"]
-    known.take_change(builders.endpoint("e1"), rev(7))
-    assert not known.may_send("e1")
+    assert known.apply_removal("e1", rev(8), 1.0) == ["e1"]
+    known.apply_entry(builders.endpoint("e1"), rev(7))
+    assert not known.is_ready("e1")
 
 
 def test_entry_missing_from_a_new_listing_is_removed() -> None:
     known = listed("e1", "e2")
-    left = known.take_listing(
+    left = known.apply_listing(
         [(builders.endpoint("e2"), rev(1))], rev(9), now=1.0
     )
     assert left == ["e1"]
@@ -53,46 +53,46 @@
 
 def test_outdated_listing_changes_nothing() -> None:
     known = listed("e1")
-    known.take_change(builders.endpoint("e2"), rev(8))
+    known.apply_entry(builders.endpoint("e2"), rev(8))
     known.advance(rev(8))
-    assert known.take_listing([], rev(6), now=2.0) == []
-    assert known.may_send("e1") and known.may_send("e2")
+    assert known.apply_listing([], rev(6), now=2.0) == []
+    assert known.is_ready("e1") and known.is_ready("e2")
 
 
 def test_entry_that_lapsed_in_an_outage_is_kept_until_its_grace_ends() -> None:
     known = listed("e1")
     known.store_lost()
     known.store_returned(14.0, away_s=4.0)
-    known.take_listing([], rev(9), now=14.0)
-    assert known.may_send("e1")
+    known.apply_listing([], rev(9), now=14.0)
+    assert known.is_ready("e1")
     assert known.expire(15.9) == []
     assert known.expire(16.1) == ["e1"]
-    assert not known.may_send("e1")
+    assert not known.is_ready("e1")
 
 
 def test_lapsed_entry_that_returns_in_time_stays() -> None:
     known = listed("e1")
     known.store_lost()
     known.store_returned(14.0, away_s=4.0)
-    known.take_listing([], rev(9), now=14.0)
-    known.take_change(builders.endpoint("e1"), rev(11))
+    known.apply_listing([], rev(9), now=14.0)
+    known.apply_entry(builders.endpoint("e1"), rev(11))
     assert known.expire(17.0) == []
-    assert known.may_send("e1")
+    assert known.is_ready("e1")
 
 
 def test_draining_entry_has_no_grace() -> None:
     known = listed("e1")
-    known.take_change(builders.endpoint("e1", DRAINING), rev(6))
+    known.apply_entry(builders.endpoint("e1", DRAINING), rev(6))
     known.store_lost()
     known.store_returned(14.0, away_s=4.0)
-    assert known.take_listing([], rev(9), now=14.0) == ["e1"]
+    assert known.apply_listing([], rev(9), now=14.0) == ["e1"]
 
 
 def test_short_loss_of_the_store_gives_no_grace() -> None:
     known = listed("e1")
     known.store_lost()
     known.store_returned(10.2, away_s=0.2)
-    assert known.take_listing([], rev(9), now=10.2) == ["e1"]
+    assert known.apply_listing([], rev(9), now=10.2) == ["e1"]
 
 
 def test_box_updated_by_peers_gives_no_grace() -> None:
@@ -100,13 +100,13 @@
     known = listed("e1")
     known.store_lost()
     known.store_returned(20.0, away_s=0.9)
-    assert known.take_listing([], rev(9), now=20.0) == ["e1"]
+    assert known.apply_listing([], rev(9), now=20.0) == ["e1"]
 
 
 def test_lapsed_entry_waits_while_the_store_is_lost_again() -> None:
     known = listed("e1")
     known.store_returned(14.0, away_s=4.0)
-    known.take_listing([], rev(9), now=14.0)
+    known.apply_listing([], rev(9), now=14.0)
     known.store_lost()
     assert known.expire(17.0) == []
     known.store_returned(18.0, away_s=3.0)
@@ -117,8 +117,8 @@
 def test_endpoint_missing_from_a_peer_view_is_removed_at_once() -> None:
     known = listed("e1", "e2")
     known.store_lost()
-    assert known.take_view([], {"e2"}, rev(9), 1.0) == ["e1"]
-    assert not known.may_send("e1") and known.may_send("e2")
+    assert known.apply_peer_view([], {"e2"}, rev(9), 1.0) == ["e1"]
+    assert not known.is_ready("e1") and known.is_ready("e2")
 
 
 def test_peer_view_updates_changed_entries_only() -> None:
@@ -127,21 +127,21 @@
         (builders.endpoint("e2", DRAINING), rev(7)),
         (builders.endpoint("e3"), rev(8)),
     ]
-    assert known.take_view(changed, {"e1", "e3"}, rev(8), 1.0) == ["e2"]
+    assert known.apply_peer_view(changed, {"e1", "e3"}, rev(8), 1.0) == ["e2"]
     assert known.ready_ids() == ["e1", "e3"]
     assert known.revision == rev(8)
 
 
 def test_outdated_peer_view_changes_nothing() -> None:
     known = listed("e1")
-    assert known.take_view([], set(), rev(4), 1.0) == []
-    assert known.may_send("e1")
+    assert known.apply_peer_view([], set(), rev(4), 1.0) == []
+    assert known.is_ready("e1")
 
 
 def test_digest_differs_between_lists() -> None:
     known, other = listed("e1", "e2"), listed("e2", "e1")
     assert known.digest() == other.digest()
-    other.leave("e1", rev(6))
+    other.mark_draining("e1", rev(6))
     assert known.digest() != other.digest()
 
 
@@ -153,16 +153,18 @@
 )
 TIMES = st.floats(0.0, 20.0)
 CHANGES = st.one_of(
-    st.tuples(st.just("take_listing"), ENTRIES, REVISIONS, TIMES),
-    st.tuples(st.just("take_view"), ENTRIES, st.sets(IDS), REVISIONS, TIMES),
+    st.tuples(st.just("apply_listing"), ENTRIES, REVISIONS, TIMES),
+    st.tuples(
+        st.just("apply_peer_view"), ENTRIES, st.sets(IDS), REVISIONS, TIMES
+    ),
     st.tuples(st.just("begin_era"), REVISIONS, TIMES),
     st.tuples(
-        st.just("take_change"),
+        st.just("apply_entry"),
         st.builds(builders.endpoint, IDS, STATES),
         REVISIONS,
     ),
-    st.tuples(st.just("take_end"), IDS, REVISIONS, TIMES),
-    st.tuples(st.just("leave"), IDS, REVISIONS),
+    st.tuples(st.just("apply_removal"), IDS, REVISIONS, TIMES),
+    st.tuples(st.just("mark_draining"), IDS, REVISIONS),
     st.tuples(st.just("expire"), TIMES),
     st.tuples(st.just("store_lost")),
     st.tuples(st.just("store_returned"), TIMES, st.just(4.0)),
@@ -193,10 +195,10 @@
 
     monkeypatch.setattr(known, "ready_ids", counted)
     known.digest()
-    known.take_change(builders.endpoint("e1"), rev(6))
+    known.apply_entry(builders.endpoint("e1"), rev(6))
     known.digest()
     assert made == [["e1", "e2"]]
-    known.leave("e1", rev(7))
+    known.mark_draining("e1", rev(7))
     known.digest()
     known.digest()
     assert made == [["e1", "e2"], ["e2"]]
@@ -206,13 +208,13 @@
     known = listed()
     for number in range(endpoint_list.MAX_REMOVED + 50):
         gone = builders.endpoint(f"e{number}")
-        known.take_change(gone, rev(6 + 2 * number))
-        known.take_end(gone.id, rev(7 + 2 * number), 1.0)
+        known.apply_entry(gone, rev(6 + 2 * number))
+        known.apply_removal(gone.id, rev(7 + 2 * number), 1.0)
     assert len(known._removed) == endpoint_list.MAX_REMOVED
 
 
 def test_peer_can_report_a_draining_endpoint() -> None:
     known = listed("e1")
-    assert known.leave("e1", rev(6))
-    assert not known.may_send("e1")
-    assert not known.leave("e1", rev(7))
+    assert known.mark_draining("e1", rev(6))
+    assert not known.is_ready("e1")
+    assert not known.mark_draining("e1", rev(7))
--- a/tests/test_endpoint_loads.py
+++ b/tests/test_endpoint_loads.py
@@ -50,7 +50,7 @@
         box: str,
         reported: dict[endpoint_loads.LoadKey, endpoint_loads.Load],
     ) -> None:
-        self.loads.take_peer(box, reported, self.now)
+        self.loads.update_peer(box, reported, self.now)
         self.peers[box] = (self.now, reported)
 
     @rule(seconds=st.sampled_from([0.1, 0.7, LIFETIME_S, 5.0]))
@@ -62,10 +62,13 @@
         rows = list(self.own)
         for reported_at, reported in self.peers.values():
             if self.now - reported_at < LIFETIME_S:
-                rows += [(k, v.running, v.unread) for k, v in reported.items()]
+                rows += [
+                    (k, v.running, v.backlog_tokens)
+                    for k, v in reported.items()
+                ]
         assert self.loads.running(self.now) == sum(r for _, r, _ in rows)
-        assert self.loads.waiting(self.now) == sum(u for _, _, u in rows)
-        assert self.loads.ahead(0, self.now) == sum(
+        assert self.loads.backlog_tokens(self.now) == sum(u for _, _, u in rows)
+        assert self.loads.tokens_ahead(0, self.now) == sum(
             u for k, _, u in rows if k.urgency == 0
         )
         assert self.loads.short_running(self.now) == sum(
@@ -77,7 +80,7 @@
     loads = endpoint_loads.EndpointLoads()
     loads.add(KEYS[0], 2, 900)
     loads.scale = 2.5
-    assert (loads.running(0.0), loads.waiting(0.0)) == (5, 2250)
+    assert (loads.running(0.0), loads.backlog_tokens(0.0)) == (5, 2250)
     assert loads.own_running == 2
 
 
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("status", [200, 404, 429, 500, 503])
 def test_any_response_may_report_leaving(status: int) -> None:
-    assert notice(status, Server_Leaving="1").leaves
+    assert notice(status, Server_Leaving="1").is_leaving
 
 
 @pytest.mark.parametrize("status", [429, 503])
@@ -33,7 +33,7 @@
     status: int, value: str, rest_s: float
 ) -> None:
     decoded = notice(status, Retry_After=value)
-    assert decoded == notices.EndpointNotice(rest_s=rest_s)
+    assert decoded == notices.EndpointNotice(backoff_s=rest_s)
 
 
 @pytest.mark.parametrize(
@@ -43,12 +43,12 @@
 )
 def test_malformed_backoff_is_reported(value: str) -> None:
     decoded = notice(503, Retry_After=value)
-    assert (decoded.rest_s, decoded.unreadable) == (0.0, value[:64])
+    assert (decoded.backoff_s, decoded.unreadable) == (0.0, value[:64])
 
 
 def test_backoff_applies_only_to_rejections() -> None:
-    assert notice(200, Retry_After="3") == notices.NOTHING
-    assert notice(500, Retry_After="3") == notices.NOTHING
+    assert notice(200, Retry_After="3") == notices.NO_NOTICE
+    assert notice(500, Retry_After="3") == notices.NO_NOTICE
 
 
 @pytest.mark.parametrize("status", [200, 404, 429, 500, 503])
@@ -78,14 +78,14 @@
 
 @pytest.mark.parametrize("value", ["0", "", "yes"])
 def test_other_values_do_not_report_leaving(value: str) -> None:
-    assert not notice(200, Server_Leaving=value).leaves
+    assert not notice(200, Server_Leaving=value).is_leaving
 
 
 def test_response_of_another_endpoint_has_no_notices() -> None:
     fields = {"Server_Leaving": "1", "Retry_After": "3"}
-    assert notice(421, **fields) == notices.NOTHING
+    assert notice(421, **fields) == notices.NO_NOTICE
     other = {"Martenjunction_Replica_Id": "e2", **fields}
-    assert notice(503, **other) == notices.NOTHING
+    assert notice(503, **other) == notices.NO_NOTICE
     own = {"Martenjunction_Replica_Id": "e1", **fields}
     assert notice(503, **own) == notices.EndpointNotice(True, 3.0)
 
@@ -112,7 +112,7 @@
     fleet.record(server, builders.PLAIN)
     await fleet.until_listed()
     box = fleet.gateways[0]
-    endpoint = box.listed.entries["i-1"].endpoint
+    endpoint = box.endpoint_list.entries["i-1"].endpoint
     assert await box.prober._ask(endpoint, "/healthz")
     server.replica_id = "i-2"
     assert not await box.prober._ask(endpoint, "/healthz")
--- a/tests/test_endpoint_refusals.py
+++ b/tests/test_endpoint_refusals.py
@@ -23,7 +23,7 @@
 
 def in_backoff(rest_s: float = 3.0) -> endpoint_refusals.Refusals:
     made = endpoint_refusals.Refusals()
-    made.ask_rest(rest_s, 0.0, NOW)
+    made.start_backoff(rest_s, 0.0, NOW)
     return made
 
 
@@ -36,15 +36,15 @@
 
 def test_shorter_backoff_does_not_shorten_an_earlier_one() -> None:
     made = in_backoff()
-    assert made.ask_rest(1.0, 0.0, NOW + 1.0) == 0.0
+    assert made.start_backoff(1.0, 0.0, NOW + 1.0) == 0.0
     assert not made.accepts(0, NOW + 2.5)
-    assert made.ask_rest(1.0, 0.0, NOW + 2.5) == pytest.approx(0.5)
+    assert made.start_backoff(1.0, 0.0, NOW + 2.5) == pytest.approx(0.5)
     assert not made.accepts(0, NOW + 3.4)
 
 
 def test_backoff_is_bounded() -> None:
     made = in_backoff(1e12)
-    assert made.accepts(0, NOW + 1.1 * endpoint_refusals.MAX_REST_S)
+    assert made.accepts(0, NOW + 1.1 * endpoint_refusals.MAX_BACKOFF_S)
 
 
 def test_endpoint_gets_one_request_after_a_backoff_until_it_answers() -> None:
@@ -52,9 +52,9 @@
     after = NOW + 3.0
     assert made.accepts(0, after)
     assert not made.accepts(1, after)
-    assert made.opens_in_s(1, after) == endpoint_refusals.RETURN_STEP_S
-    assert made.accepts(1, after + endpoint_refusals.RETURN_STEP_S)
-    made.answer(sent_at=after)
+    assert made.opens_in_s(1, after) == endpoint_refusals.RAMP_UP_STEP_S
+    assert made.accepts(1, after + endpoint_refusals.RAMP_UP_STEP_S)
+    made.record_answer(sent_at=after)
     assert made.accepts(50, after)
 
 
@@ -64,7 +64,7 @@
 ) -> None:
     # Streams that started earlier continue during and after the back-off.
     made = in_backoff()
-    made.answer(sent_at=NOW - 1.0)
+    made.record_answer(sent_at=NOW - 1.0)
     assert not made.accepts(1, max(heard_at, NOW + 3.0))
 
 
@@ -78,30 +78,34 @@
 
 def test_jitter_spreads_the_return_of_boxes() -> None:
     first, last = endpoint_refusals.Refusals(), endpoint_refusals.Refusals()
-    first.ask_rest(3.0, 0.0, NOW)
-    last.ask_rest(3.0, 1.0, NOW)
+    first.start_backoff(3.0, 0.0, NOW)
+    last.start_backoff(3.0, 1.0, NOW)
     assert first.accepts(0, NOW + 3.0) and not last.accepts(0, NOW + 3.0)
-    spread_s = 3.0 * endpoint_refusals.SPREAD_PART
+    spread_s = 3.0 * endpoint_refusals.JITTER_FRACTION
     assert last.accepts(0, NOW + 3.0 + spread_s)
 
 
 def test_pause_grows_with_each_refusal_and_ends_with_an_answer() -> None:
     made = endpoint_refusals.Refusals()
-    made.refuse(NOW)
+    made.record_refusal(NOW)
     # Refusals of requests sent before the pause are ignored.
-    made.refuse(NOW)
-    assert made.pauses(NOW + 0.09) and not made.pauses(NOW + 0.11)
+    made.record_refusal(NOW)
+    assert made.is_deprioritized(NOW + 0.09) and not made.is_deprioritized(
+        NOW + 0.11
+    )
     now = NOW
     for _ in range(9):
-        now += endpoint_refusals.LONGEST_PAUSE_S
-        made.refuse(now)
-    assert made.pauses(now + 0.9 * endpoint_refusals.LONGEST_PAUSE_S)
-    assert not made.pauses(now + endpoint_refusals.LONGEST_PAUSE_S)
+        now += endpoint_refusals.MAX_PAUSE_S
+        made.record_refusal(now)
+    assert made.is_deprioritized(now + 0.9 * endpoint_refusals.MAX_PAUSE_S)
+    assert not made.is_deprioritized(now + endpoint_refusals.MAX_PAUSE_S)
     # A pause only lowers the preference for the endpoint.
     assert made.accepts(9, now)
-    made.answer(sent_at=now)
-    made.refuse(now + 9.0)
-    assert not made.pauses(now + 9.0 + 1.1 * endpoint_refusals.FIRST_PAUSE_S)
+    made.record_answer(sent_at=now)
+    made.record_refusal(now + 9.0)
+    assert not made.is_deprioritized(
+        now + 9.0 + 1.1 * endpoint_refusals.INITIAL_PAUSE_S
+    )
 
 
 @given(
@@ -120,10 +124,10 @@
     ends = []
     for pause_s, rest_s, drawn in asks:
         now += pause_s
-        made.ask_rest(rest_s, drawn, now)
+        made.start_backoff(rest_s, drawn, now)
         ends.append(now + rest_s)
-        made.refuse(now)
-        assert made.rest_until >= max(ends) or not any(
+        made.record_refusal(now)
+        assert made.backoff_until >= max(ends) or not any(
             end > now for end in ends
         )
 
@@ -144,7 +148,7 @@
     apart: bool,
 ) -> None:
     backing_off = builders.record("e1")
-    backing_off.refusals.ask_rest(3.0, 0.0, NOW)
+    backing_off.refusals.start_backoff(3.0, 0.0, NOW)
     assert choose([backing_off], apart=apart) is None
     ejected = builders.record("e2")
     ejected.health.move(endpoint_states.EndpointEvent.OUTLIER, NOW)
@@ -154,7 +158,7 @@
 def test_endpoint_in_backoff_gets_no_trial() -> None:
     backing_off = builders.record("e1")
     backing_off.health.move(endpoint_states.EndpointEvent.OUTLIER, NOW - 50.0)
-    backing_off.refusals.ask_rest(3.0, 0.0, NOW)
+    backing_off.refusals.start_backoff(3.0, 0.0, NOW)
     assert choose([backing_off, builders.record("e2")]) == "e2"
 
 
@@ -195,11 +199,11 @@
     assert len(made.received) == 1
     retry_after_s = float(second.get(b"retry-after") or b"0")
     shown = fleet.gateways[0].dump()["records"][made.id]["rests_s"]
-    assert 0.0 < shown <= 30.0 + endpoint_refusals.MOST_SPREAD_S
+    assert 0.0 < shown <= 30.0 + endpoint_refusals.MAX_JITTER_S
     assert b"endpoints_resting 1.0" in fleet.gateways[0]._metrics_text()
     # At most the requested back-off plus the jitter.
-    most_s = 30.0 + endpoint_refusals.MOST_SPREAD_S
-    assert 0.0 < retry_after_s <= most_s + endpoint_refusals.RETURN_STEP_S
+    most_s = 30.0 + endpoint_refusals.MAX_JITTER_S
+    assert 0.0 < retry_after_s <= most_s + endpoint_refusals.RAMP_UP_STEP_S
 
 
 async def test_no_health_check_during_a_backoff(fleet: boxes.Boxes) -> None:
@@ -207,10 +211,10 @@
     await requests.ask(fleet, "/unsafe/")
     box = fleet.gateways[0]
     for _ in range(9):
-        box.book.broken(made.id, box.timers.now() - 60.0)
-    assert box.book.records[made.id].health.state == "ejected"
-    assert box.book.due_for_probe(box.timers.now()) == []
-    assert box.book.due_for_probe(box.timers.now() + 60.0) == [made.id]
+        box.registry.note_broken_response(made.id, box.timers.now() - 60.0)
+    assert box.registry.records[made.id].health.state == "ejected"
+    assert box.registry.due_for_probe(box.timers.now()) == []
+    assert box.registry.due_for_probe(box.timers.now() + 60.0) == [made.id]
 
 
 async def test_malformed_backoff_is_ignored(fleet: boxes.Boxes) -> None:
@@ -228,8 +232,8 @@
     await requests.ask(fleet, "/unsafe/", "r1")
     box = fleet.gateways[0]
     fleet.forget(made)
-    await boxes.until(lambda: made.id not in box.listed.entries)
-    box.book.tick(box.timers.now())
+    await boxes.until(lambda: made.id not in box.endpoint_list.entries)
+    box.registry.tick(box.timers.now())
     fleet.record(made, builders.PLAIN)
     await fleet.until_listed()
     await requests.ask(fleet, "/unsafe/", "r2")
@@ -239,10 +243,12 @@
 async def test_backoff_is_checked_again_after_connecting(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    await requests.begin_at_one_that_changes(
+    await requests.check_change_while_connecting(
         fleet,
         monkeypatch,
-        lambda box, name: box.book.rest(name, 30.0, box.timers.now()),
+        lambda box, name: box.registry.start_backoff(
+            name, 30.0, box.timers.now()
+        ),
     )
 
 
@@ -256,5 +262,5 @@
     box = fleet.gateways[0]
     for number in range(60):
         await requests.ask(fleet, "/safe/", f"r{number}")
-    assert box.book.records[made[0].id].failures.value > 0
+    assert box.registry.records[made[0].id].failures.value > 0
     assert len(made[0].received) < len(made[1].received) / 4
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -163,17 +163,17 @@
         )
     fleet.record(replicas[0], builders.PLAIN)
     box = fleet.gateways[0]
-    await boxes.until(lambda: len(box.listed.entries) == 56)
+    await boxes.until(lambda: len(box.endpoint_list.entries) == 56)
     fleet.store.write(documents.ENDPOINT_KIND, "more-7", json.loads(foreign))
-    await boxes.until(lambda: not box.listed.may_send("more-7"))
-    await boxes.until(lambda: box.listed.may_send(replicas[0].id))
-    assert len(box.listed.ready_ids()) == 55
-    assert box.picture.unreadable == 1
+    await boxes.until(lambda: not box.endpoint_list.is_ready("more-7"))
+    await boxes.until(lambda: box.endpoint_list.is_ready(replicas[0].id))
+    assert len(box.endpoint_list.ready_ids()) == 55
+    assert box.store_cache.unreadable == 1
     fleet.store.forget_history()
     calls = box.store.calls["list"]
     await boxes.until(lambda: box.store.calls["list"] > calls)
-    assert len(box.listed.ready_ids()) == 55
-    assert box.picture.unreadable == 1
+    assert len(box.endpoint_list.ready_ids()) == 55
+    assert box.store_cache.unreadable == 1
 
 
 async def test_endpoint_is_removed_when_its_entry_becomes_malformed(
@@ -184,13 +184,13 @@
     replicas = await requests.two_plain(fleet)
     box = fleet.gateways[0]
     fleet.record(replicas[0], builders.PLAIN, address="nowhere")
-    await boxes.until(lambda: not box.listed.may_send(replicas[0].id))
+    await boxes.until(lambda: not box.endpoint_list.is_ready(replicas[0].id))
     for number in range(6):
         head, _ = await requests.ask(fleet, "/safe/", f"r{number}")
         assert head.status == 200
     assert not replicas[0].received
     fleet.record(replicas[0], builders.PLAIN)
-    await boxes.until(lambda: box.listed.may_send(replicas[0].id))
+    await boxes.until(lambda: box.endpoint_list.is_ready(replicas[0].id))
 
 
 async def test_malformed_entry_of_a_box_does_not_affect_others() -> None:
@@ -211,11 +211,11 @@
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.picture.version == 7)
+    await boxes.until(lambda: box.store_cache.version == 7)
     fleet.configure({"version": "eight"})
     calls = box.store.calls["get"]
     await boxes.until(lambda: box.store.calls["get"] > calls + 2)
-    assert box.picture.version == 7
-    assert box.picture.store_answers
+    assert box.store_cache.version == 7
+    assert box.store_cache.store_answers
     fleet.configure(builders.config_document(9))
-    await boxes.until(lambda: box.picture.version == 9)
+    await boxes.until(lambda: box.store_cache.version == 9)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -113,7 +113,7 @@
     fleet: boxes.Boxes, behaviour: Behaviour
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, behaviour)
+    requests.plan_first_response(made, behaviour)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
     assert requests.runs(made) == 1
@@ -124,7 +124,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.BARE_503)
+    requests.plan_first_response(made, Behaviour.BARE_503)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
     assert head.get(b"martenjunction-replica-seal") is None
@@ -134,7 +134,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.FAIL)
+    requests.plan_first_response(made, Behaviour.FAIL)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 500
     assert head.get(b"martenjunction-replica-seal") is not None
@@ -178,7 +178,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.UNSEALED)
+    requests.plan_first_response(made, Behaviour.UNSEALED)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
 
@@ -187,14 +187,14 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.FOREIGN_FIRST)
+    requests.plan_first_response(made, Behaviour.FOREIGN_FIRST)
     head, body = await requests.ask(fleet, "/unsafe/")
     assert (head.status, body) == (200, b"answer to hello")
 
 
 async def test_second_answer_is_discarded(fleet: boxes.Boxes) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.TWICE)
+    requests.plan_first_response(made, Behaviour.TWICE)
     for number in range(6):
         head, body = await requests.ask(fleet, "/unsafe/", f"r{number}")
         assert (head.status, body) == (200, b"answer to hello")
@@ -214,7 +214,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.HANG)
+    requests.plan_first_response(made, Behaviour.HANG)
     head, _ = await requests.ask(
         fleet, "/unsafe/", **{"Martenjunction-Deadline-Ms": "300"}
     )
@@ -224,7 +224,7 @@
 
 async def test_client_that_leaves_ends_the_run(fleet: boxes.Boxes) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.HANG)
+    requests.plan_first_response(made, Behaviour.HANG)
     task = asyncio.create_task(requests.ask(fleet, "/unsafe/"))
     await boxes.until(lambda: requests.arrivals(made) == 1)
     task.cancel()
--- a/tests/test_gateway_beliefs.py
+++ b/tests/test_gateway_beliefs.py
@@ -16,7 +16,9 @@
 async def test_draining_replica_gets_no_new_work(fleet: boxes.Boxes) -> None:
     made = await requests.two_plain(fleet)
     fleet.record(made[0], builders.PLAIN, state="draining")
-    await boxes.until(lambda: not fleet.gateways[0].listed.may_send("i-1"))
+    await boxes.until(
+        lambda: not fleet.gateways[0].endpoint_list.is_ready("i-1")
+    )
     for number in range(6):
         await requests.ask(fleet, "/safe/", f"r{number}")
     assert not made[0].received
@@ -29,7 +31,9 @@
     fleet.store.faults = platform.PlatformFaults(deaf=True)
     fleet.forget(made[0])
     fleet.store.forget_history()
-    await boxes.until(lambda: not fleet.gateways[0].listed.may_send("i-1"))
+    await boxes.until(
+        lambda: not fleet.gateways[0].endpoint_list.is_ready("i-1")
+    )
 
 
 async def test_box_keeps_serving_while_the_store_is_down(
@@ -37,7 +41,7 @@
 ) -> None:
     await requests.two_plain(fleet)
     fleet.store.faults = platform.PlatformFaults(down=True)
-    await boxes.until(lambda: not fleet.gateways[0].picture.store_answers)
+    await boxes.until(lambda: not fleet.gateways[0].store_cache.store_answers)
     head, _ = await requests.ask(fleet, "/safe/")
     assert head.status == 200
 
@@ -51,7 +55,9 @@
     await made.until_listed()
     made.store.faults = platform.PlatformFaults(down=True)
     box = made.gateways[0]
-    await boxes.until(lambda: not box.freshness.covers(box.timers.now()))
+    await boxes.until(
+        lambda: not box.freshness.allows_keys_at(box.timers.now())
+    )
     keyed, _ = await requests.ask(made, "/safe/")
     public, _ = await requests.ask(made, "/open/", Authorization="")
     ready, _ = await boxes.call(box._settings.ready, "GET", "/readyz")
@@ -65,7 +71,7 @@
 async def test_revoked_key_is_refused(fleet: boxes.Boxes) -> None:
     made = await requests.two_plain(fleet)
     fleet.configure(builders.config_document(9, tenants=[]))
-    await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
+    await boxes.until(lambda: fleet.gateways[0].store_cache.version == 9)
     head, _ = await requests.ask(fleet, "/safe/")
     assert head.status == 401
     assert requests.arrivals(made) == 0
@@ -75,7 +81,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.picture.version == 7)
+    await boxes.until(lambda: box.store_cache.version == 7)
     await boxes.until(lambda: fleet.store.calls["watch"] >= 2)
 
     async def never(kind: str, name: str) -> None:
@@ -85,7 +91,7 @@
     fleet.store.faults = platform.PlatformFaults(deaf=True)
     fleet.configure(builders.config_document(9))
     fleet.store.forget_history()
-    await boxes.until(lambda: box.picture.version == 9)
+    await boxes.until(lambda: box.store_cache.version == 9)
 
 
 async def test_older_configuration_is_never_activated(
@@ -93,11 +99,11 @@
 ) -> None:
     box = fleet.gateways[0]
     fleet.configure(builders.config_document(9))
-    await boxes.until(lambda: box.picture.version == 9)
+    await boxes.until(lambda: box.store_cache.version == 9)
     calls = box.store.calls["get"]
     fleet.configure(builders.config_document(8, routes=[]))
     await boxes.until(lambda: box.store.calls["get"] > calls + 1)
-    assert box.picture.version == 9
+    assert box.store_cache.version == 9
 
 
 async def test_ejected_endpoint_without_repeatable_requests_is_reinstated(
@@ -111,7 +117,7 @@
         *(requests.ask(fleet, "/unsafe/", f"r{number}") for number in range(12))
     )
     assert {head.status for head, _ in answers} == {200}
-    ejected = box.book.records[made[0].id].health
+    ejected = box.registry.records[made[0].id].health
     assert ejected.state == "ejected"
     await made[0].start_again()
     await boxes.until(lambda: ejected.state == "routing")
@@ -124,7 +130,7 @@
     box = fleet.gateways[0]
     stopping = asyncio.create_task(box.leave())
     await boxes.until(
-        lambda: (box._left_for_s() or 0) > exchange.STREAM_ADMISSION_S
+        lambda: (box._stopping_for_s() or 0) > exchange.STREAM_ADMISSION_S
     )
     head, _ = await requests.ask(fleet, "/chat/")
     assert head.status == 503
@@ -172,24 +178,24 @@
     # Partitions the box that reads from the store for both boxes, so that the
     # other one has to take over reading.
     await boxes.until(
-        lambda: sum(box.follower.answered for box in made.gateways) == 1
+        lambda: sum(box.follower.is_synced for box in made.gateways) == 1
     )
-    [cut] = [box for box in made.gateways if box.follower.answered]
+    [cut] = [box for box in made.gateways if box.follower.is_synced]
 
     async def fail(*_: object) -> object:
         raise errors.PlatformUnavailableError("cut off")
 
     for name in ("get", "list", "watch"):
         setattr(cut.store, name, fail)
-    await boxes.until(lambda: not cut.picture.store_answers)
+    await boxes.until(lambda: not cut.store_cache.store_answers)
     made.configure(builders.config_document(9))
-    await boxes.until(lambda: cut.picture.version == 9)
+    await boxes.until(lambda: cut.store_cache.version == 9)
     made.record(made.replicas[0], builders.PLAIN, state="draining")
-    await boxes.until(lambda: not cut.listed.may_send("i-1"))
+    await boxes.until(lambda: not cut.endpoint_list.is_ready("i-1"))
     lifetime = cut._settings.key_lifetime_s
     started = cut.timers.now()
     await boxes.until(lambda: cut.timers.now() - started > lifetime)
-    assert cut.freshness.covers(cut.timers.now())
+    assert cut.freshness.allows_keys_at(cut.timers.now())
     await made.stop()
 
 
--- a/tests/test_gateway_engines.py
+++ b/tests/test_gateway_engines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from martenjunction import errors
-from martenjunction.decisions.boxes import engine_figures
+from martenjunction.decisions.boxes import engine_profiles
 from martenjunction.platform import documents
 from martenjunction.routing import offers
 from martenjunction.routing import service_engines
@@ -22,23 +22,28 @@
 async def test_boxes_share_learned_engine_profiles() -> None:
     made = boxes.Boxes()
     await made.start(builders.config_document(), boxes=2)
-    first, second = (box.book.engines for box in made.gateways)
-    for _ in range(engine_figures.ENOUGH_READS):
+    first, second = (box.registry.engines for box in made.gateways)
+    for _ in range(engine_profiles.MIN_PREFILLS):
         first.note_prefill_time(builders.ENGINE, 9_000, 0.265)
-    for _ in range(engine_figures.ENOUGH_BLOCKS * engine_figures.BLOCK_PAUSES):
+    for _ in range(
+        engine_profiles.MIN_BLOCKS * engine_profiles.PAUSES_PER_BLOCK
+    ):
         first.note_token_pause(builders.ENGINE, 0.061)
-    first.note_asked(
+    first.note_prefill_demand(
         builders.ENGINE, 30_000, True, made.gateways[0].timers.now()
     )
 
     def is_reported() -> bool:
-        figures = second.figures(builders.ENGINE)
+        figures = second.profile(builders.ENGINE)
         now = made.gateways[1].timers.now()
-        asked = second.asked(builders.ENGINE, now).long
-        return figures.reading_token_s == pytest.approx(0.061) and asked > 0
+        asked = second.prefill_demand(builders.ENGINE, now).long
+        return (
+            figures.prefill_token_interval_s == pytest.approx(0.061)
+            and asked > 0
+        )
 
     await boxes.until(is_reported)
-    rate = second.figures(builders.ENGINE).prefill_tokens_per_s
+    rate = second.profile(builders.ENGINE).prefill_tokens_per_s
     assert rate == pytest.approx(36_000, rel=0.01)
     await made.stop()
 
@@ -46,15 +51,15 @@
 def test_reports_of_another_box_are_applied_unchanged() -> None:
     one = service_engines.ServiceEngines(_NoLog())  # type: ignore[arg-type]
     other = service_engines.ServiceEngines(_NoLog())  # type: ignore[arg-type]
-    for _ in range(engine_figures.ENOUGH_READS):
+    for _ in range(engine_profiles.MIN_PREFILLS):
         one.note_prefill_time("s", 9_000, 0.265)
-    one.note_asked("s", 3_000, False, 10.0)
-    one.settle(10.0)
-    other.take_peer("b", one.rows(10.0), 10.0)
-    other.settle(10.0)
-    assert other.figures("s").prefill_tokens_per_s == pytest.approx(36_000)
-    assert other.asked("s", 10.0).short == 1_000
-    assert other.figures("unknown") == engine_figures.EngineFigures()
+    one.note_prefill_demand("s", 3_000, False, 10.0)
+    one.recompute(10.0)
+    other.update_peer("b", one.rows(10.0), 10.0)
+    other.recompute(10.0)
+    assert other.profile("s").prefill_tokens_per_s == pytest.approx(36_000)
+    assert other.prefill_demand("s", 10.0).short == 1_000
+    assert other.profile("unknown") == engine_profiles.EngineProfile()
 
 
 class _NoLog:
@@ -76,7 +81,7 @@
     engine["kv_bytes"] = limit + 1 if dear else limit
     fleet.configure(config)
     made = await requests.engines(fleet)
-    await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
+    await boxes.until(lambda: fleet.gateways[0].store_cache.version == 9)
     await requests.ask(fleet, "/chat/")
     [asked] = [s for s in made if s.received]
     copied = "martenjunction-kv-backup" in asked.received[0].headers
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -45,10 +45,10 @@
             for stand_in in made
             for key in keys
         ]
-        box.book.take_peer_loads("box-9", rows, box.timers.now())
+        box.registry.update_peer_loads("box-9", rows, box.timers.now())
 
-    for endpoint in box.listed.ready(builders.ENGINE):
-        box.book._record(endpoint, service)
+    for endpoint in box.endpoint_list.ready(builders.ENGINE):
+        box.registry._record(endpoint, service)
     report_loads(chat)
     refused, _ = await requests.ask(fleet, "/chat/", "r1")
     report_loads(chat, digest)
@@ -85,7 +85,7 @@
         route["timeout_ms"] = 9000
     fleet.configure(config)
     made = await requests.engines(fleet)
-    await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
+    await boxes.until(lambda: fleet.gateways[0].store_cache.version == 9)
     return made
 
 
@@ -150,7 +150,7 @@
     fleet: boxes.Boxes, behaviour: Behaviour
 ) -> None:
     made = await engines_that_keep_copies(fleet)
-    requests.behave(made, behaviour)
+    requests.plan_first_response(made, behaviour)
     for stand_in in made:
         stand_in.break_after = 3
     with contextlib.suppress(errors.TransportError):
@@ -163,7 +163,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await engines_that_keep_copies(fleet)
-    requests.behave(made, Behaviour.FAIL)
+    requests.plan_first_response(made, Behaviour.FAIL)
     head, _ = await requests.ask(fleet, "/chat/")
     assert head.status == 500
     assert requests.runs(made) == 1
@@ -184,7 +184,9 @@
 ) -> None:
     run = await begin_copied_run(fleet)
     box = fleet.gateways[0]
-    requests.on_first_connection(monkeypatch, box, box.listed.say_leaving)
+    requests.on_first_connection(
+        monkeypatch, box, box.endpoint_list.mark_leaving
+    )
     with pytest.raises(errors.TransportError):
         await run.task
     assert not run.second.received
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -37,9 +37,9 @@
     ) -> None:
         self.received.append(request)
         self.connections.add(connection)
-        connection.watch_end(self._count)
+        connection.on_disconnect(self._count)
         await self.release.wait()
-        connection.watch_end(None)
+        connection.on_disconnect(None)
         await connection.answer(200, [], request.target + b"|" + request.body)
 
     def _count(self) -> None:
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -22,12 +22,12 @@
 
 import pytest
 
-from martenjunction.http1 import closings
+from martenjunction.http1 import close_reports
 from martenjunction.http1 import messages
 from martenjunction.http1 import server
 from martenjunction.http1 import server_connection
 from martenjunction_lab import bench
-from tests import kept_connections
+from tests import keep_alive_connections
 from tests import raw_peers
 
 COUNT = 12
@@ -44,7 +44,7 @@
 
     def __init__(self) -> None:
         self.received: list[bytes] = []
-        self.closed: list[closings.ClosedConnection] = []
+        self.closed: list[close_reports.ClosedConnection] = []
 
     async def __call__(
         self,
@@ -72,11 +72,13 @@
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await keep_alive_connections.open_used_connections(
+        address, COUNT, GET % 0
+    )
     for connection in connections:
         connection.send(GET % 1)
-    raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.count_ok_responses(connections) == COUNT
+    raw_peers.block_event_loop(IDLE_S + 0.1)
+    assert await keep_alive_connections.count_ok_responses(connections) == COUNT
     assert handler.received.count(b"/1") == COUNT
 
 
@@ -84,14 +86,16 @@
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await keep_alive_connections.open_used_connections(
+        address, COUNT, GET % 0
+    )
     for connection in connections:
         connection.send((GET % 1)[:9])
     await asyncio.sleep(0.05)
     for connection in connections:
         connection.send((GET % 1)[9:])
-    raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.count_ok_responses(connections) == COUNT
+    raw_peers.block_event_loop(IDLE_S + 0.1)
+    assert await keep_alive_connections.count_ok_responses(connections) == COUNT
 
 
 async def test_body_racing_with_its_timeout_is_answered(
@@ -99,25 +103,31 @@
 ) -> None:
     monkeypatch.setattr(server_connection, "BODY_TIMEOUT_S", IDLE_S)
     handler, address = served
-    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await keep_alive_connections.open_used_connections(
+        address, COUNT, GET % 0
+    )
     for connection in connections:
         connection.send(POST + b"ab")
     await asyncio.sleep(0.05)
     for connection in connections:
         connection.send(b"cd")
-    raw_peers.hold_up(IDLE_S + 0.1)
-    assert await kept_connections.count_ok_responses(connections) == COUNT
+    raw_peers.block_event_loop(IDLE_S + 0.1)
+    assert await keep_alive_connections.count_ok_responses(connections) == COUNT
 
 
 async def test_request_of_disconnected_client_is_not_passed_on(
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await keep_alive_connections.open_used_connections(
+        address, COUNT, GET % 0
+    )
     for connection in connections:
         connection.send(GET % 1)
         connection.close()
-    [last] = await kept_connections.kept(address, 1, GET % 2)
+    [last] = await keep_alive_connections.open_used_connections(
+        address, 1, GET % 2
+    )
     assert handler.received.count(b"/1") == 0
     last.close()
 
@@ -126,14 +136,16 @@
     served: tuple[Handler, str],
 ) -> None:
     handler, address = served
-    [connection] = await kept_connections.kept(address, 1, GET % 0)
+    [connection] = await keep_alive_connections.open_used_connections(
+        address, 1, GET % 0
+    )
     assert await connection.ended()
-    async with asyncio.timeout(kept_connections.TIMEOUT_S):
+    async with asyncio.timeout(keep_alive_connections.TIMEOUT_S):
         while not handler.closed:
             await asyncio.sleep(0.01)
     [closed] = handler.closed
-    assert closed.reason is closings.CloseReason.IDLE
-    assert (closed.answered, closed.under_way) == (1, False)
+    assert closed.reason is close_reports.CloseReason.IDLE
+    assert (closed.answered, closed.in_flight) == (1, False)
     assert not closed.bytes_waiting
     connection.close()
 
@@ -144,12 +156,14 @@
     listening = server.Server("test", handler, lambda: limits[0])
     address = bench.free_address()
     listening.listen_on(address)
-    connections = await kept_connections.kept(address, COUNT, GET % 0)
+    connections = await keep_alive_connections.open_used_connections(
+        address, COUNT, GET % 0
+    )
     limits[0] = messages.ClientLimits(idle_timeout_s=10 * IDLE_S)
     await asyncio.sleep(1.5 * IDLE_S)
     for connection in connections:
         connection.send(GET % 1)
-    assert await kept_connections.count_ok_responses(connections) == COUNT
+    assert await keep_alive_connections.count_ok_responses(connections) == COUNT
     listening.close_all()
 
 
@@ -161,15 +175,15 @@
     )
     address = bench.free_address()
     listening.listen_on(address)
-    connection = kept_connections.KeptConnection()
+    connection = keep_alive_connections.KeptConnection()
     await connection.connect(address)
     connection.send(GET % 1 + (GET % 2)[:9])
     assert b" 200 " in await connection.answer()
     assert await connection.ended()
-    async with asyncio.timeout(kept_connections.TIMEOUT_S):
+    async with asyncio.timeout(keep_alive_connections.TIMEOUT_S):
         while not handler.closed:
             await asyncio.sleep(0.01)
     [closed] = handler.closed
-    assert closed.reason is closings.CloseReason.SLOW_HEAD
+    assert closed.reason is close_reports.CloseReason.SLOW_HEAD
     connection.close()
     listening.close_all()
--- a/tests/test_kept_connections_process.py
+++ b/tests/test_kept_connections_process.py
@@ -138,7 +138,7 @@
             *found.false_promises,
             *found.doubled,
         }
-        assert not faults, f"{found}: {await self._lines_of(faults)}"
+        assert not faults, f"{found}: {await self._log_lines(faults)}"
 
     async def _log_lines(self, ids: set[str]) -> list[dict[str, object]]:
         """Returns the log lines of stopped boxes about given requests."""
@@ -192,7 +192,7 @@
     seconds: float,
 ) -> None:
     """Sends requests while a process is paused."""
-    with box.held_up():
+    with box.suspended():
         sent = clients.send(count)
         await asyncio.sleep(seconds)
     await clients.receive(sent)
@@ -201,7 +201,7 @@
 async def pause_until_ended(box: box_processes.Box, seed: int) -> None:
     rng = random.Random(seed)
     while box.running:
-        with box.held_up():
+        with box.suspended():
             await asyncio.sleep(rng.uniform(*PAUSES_S))
         await asyncio.sleep(rng.uniform(*PAUSE_INTERVALS_S))
 
--- a/tests/test_leaving_endpoints.py
+++ b/tests/test_leaving_endpoints.py
@@ -33,7 +33,7 @@
 ) -> tuple[telling_endpoints.TellingFleet, telling_outcome.Outcome]:
     changed_trial = dataclasses.replace(trial, **changes)  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(changed_trial)
-    return fleet, await fleet.run(builders.patient_config_document())
+    return fleet, await fleet.run(builders.relaxed_config_document())
 
 
 @pytest.mark.parametrize("word", [Word.LEAVING, Word.LEAVING_THEN_REFUSING])
@@ -99,14 +99,16 @@
     with contextlib.suppress(errors.TransportError):
         await requests.ask(fleet, path)
     assert len(made.received) == 1
-    assert not fleet.gateways[0].listed.may_send(made.id)
+    assert not fleet.gateways[0].endpoint_list.is_ready(made.id)
 
 
 async def test_health_check_can_announce_leaving(fleet: boxes.Boxes) -> None:
     made = await start_leaving_replica(fleet, builders.PLAIN)
     box = fleet.gateways[0]
-    await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
-    assert not box.listed.may_send(made.id)
+    await box.prober._ask(
+        box.endpoint_list.entries[made.id].endpoint, "/healthz"
+    )
+    assert not box.endpoint_list.is_ready(made.id)
 
 
 async def test_announcement_of_another_endpoint_is_ignored(
@@ -116,12 +118,14 @@
     made.always(Behaviour.MISDIRECTED)
     await requests.ask(fleet, "/safe/")
     assert made.received
-    assert fleet.gateways[0].listed.may_send(made.id)
+    assert fleet.gateways[0].endpoint_list.is_ready(made.id)
 
 
 async def test_request_that_waits_for_a_connection_is_routed_again(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    await requests.begin_at_one_that_changes(
-        fleet, monkeypatch, lambda box, name: box.listed.say_leaving(name)
+    await requests.check_change_while_connecting(
+        fleet,
+        monkeypatch,
+        lambda box, name: box.endpoint_list.mark_leaving(name),
     )
--- a/tests/test_leaving_spread.py
+++ b/tests/test_leaving_spread.py
@@ -22,55 +22,55 @@
 
 def listed() -> endpoint_list.EndpointList:
     made = endpoint_list.EndpointList()
-    made.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
+    made.apply_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     return made
 
 
 def test_announcement_overrides_a_ready_entry() -> None:
     known = listed()
-    assert known.say_leaving("e1/1")
-    assert not known.say_leaving("e1/1")
-    known.take_change(endpoint_start(1), rev(6))
-    known.take_listing([(endpoint_start(1), rev(7))], rev(8), now=1.0)
-    known.take_view([(endpoint_start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
+    assert known.mark_leaving("e1/1")
+    assert not known.mark_leaving("e1/1")
+    known.apply_entry(endpoint_start(1), rev(6))
+    known.apply_listing([(endpoint_start(1), rev(7))], rev(8), now=1.0)
+    known.apply_peer_view([(endpoint_start(1), rev(9))], {"e1/1"}, rev(9), 1.0)
     assert known.ready_ids() == []
 
 
 def test_announcement_outlives_a_removed_and_restored_entry() -> None:
     known = listed()
-    known.say_leaving("e1/1")
+    known.mark_leaving("e1/1")
     known.store_lost()
-    known.take_listing([], rev(6), now=1.0)
+    known.apply_listing([], rev(6), now=1.0)
     known.store_returned(9.0, away_s=8.0)
-    known.take_change(endpoint_start(1), rev(7))
+    known.apply_entry(endpoint_start(1), rev(7))
     assert known.ready_ids() == []
 
 
 def test_announcement_applies_to_an_endpoint_listed_later() -> None:
     known = endpoint_list.EndpointList()
-    assert known.say_leaving("e1/1")
-    known.take_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
+    assert known.mark_leaving("e1/1")
+    known.apply_listing([(endpoint_start(1), rev(3))], rev(5), now=0.0)
     assert known.ready_ids() == []
 
 
 def test_restarted_endpoint_is_available() -> None:
     known = listed()
-    known.say_leaving("e1/1")
-    known.take_change(endpoint_start(2), rev(6))
+    known.mark_leaving("e1/1")
+    known.apply_entry(endpoint_start(2), rev(6))
     assert known.ready_ids() == ["e1/2"]
 
 
 def test_endpoint_missing_from_a_peer_view_is_unavailable() -> None:
     known = listed()
     # Its entry is ready, but the sender of the view does not use it.
-    known.take_view([(endpoint_start(1), rev(9))], set(), rev(9), 1.0)
+    known.apply_peer_view([(endpoint_start(1), rev(9))], set(), rev(9), 1.0)
     assert known.ready_ids() == []
 
 
 def test_number_of_announcements_is_bounded() -> None:
     known = listed()
     for number in range(2 * endpoint_list.MAX_LEAVING):
-        known.say_leaving(f"e{number}")
+        known.mark_leaving(f"e{number}")
     assert len(known._leaving) == endpoint_list.MAX_LEAVING
 
 
@@ -96,7 +96,7 @@
 async def test_all_boxes_learn_of_it_with_few_messages(tellers: int) -> None:
     fleet = Fleet()
     for name in list(fleet.syncs)[:tellers]:
-        fleet.syncs[name].say_leaving("e1/1")
+        fleet.syncs[name].report_leaving("e1/1")
     for _ in range(10):
         await asyncio.sleep(0)
     assert not any(known.ready_ids() for known in fleet.lists.values())
@@ -106,7 +106,7 @@
 
 async def test_newly_connected_box_is_notified() -> None:
     fleet = Fleet()
-    fleet.lists["box-0"].say_leaving("e1/1")
+    fleet.lists["box-0"].mark_leaving("e1/1")
     fleet.linked.nodes["box-0"].emitter.emit(events.PEER_CONNECTED, "box-1")
     await asyncio.sleep(0)
     assert fleet.lists["box-1"].ready_ids() == []
--- a/tests/test_limit_gate.py
+++ b/tests/test_limit_gate.py
@@ -48,7 +48,7 @@
     service = builders.ENGINE if engine else builders.PLAIN
     made = await limited_replicas.start(fleet, service, 2)
     made[1].limit = None
-    limited_replicas.say(fleet, made[0], 0.0)
+    limited_replicas.report_limit(fleet, made[0], 0.0)
     for number in range(6):
         head, _ = await requests.ask(fleet, path, f"r{number}")
         assert head.status == 200
@@ -59,7 +59,7 @@
     made = await limited_replicas.start(fleet, builders.PLAIN, 2)
     made[1].limit = None
     made[1].always(Behaviour.FAIL)
-    limited_replicas.say(fleet, made[0], 0.0)
+    limited_replicas.report_limit(fleet, made[0], 0.0)
     head, _ = await requests.ask(fleet, "/safe/")
     assert head.status == 500
     assert not made[0].received
@@ -67,9 +67,11 @@
 
 async def test_health_check_needs_a_grant(fleet: boxes.Boxes) -> None:
     [made] = await limited_replicas.start(fleet, builders.PLAIN, 1)
-    limited_replicas.say(fleet, made, 0.0)
+    limited_replicas.report_limit(fleet, made, 0.0)
     box = fleet.gateways[0]
-    await box.prober._probe(box.listed.entries[made.id].endpoint, "/healthz")
+    await box.prober._probe(
+        box.endpoint_list.entries[made.id].endpoint, "/healthz"
+    )
     assert not made.received
 
 
@@ -78,11 +80,13 @@
 ) -> None:
     made = await limited_replicas.start(fleet, builders.ENGINE, 3)
     for one in made:
-        limited_replicas.say(fleet, one, 0.0)
+        limited_replicas.report_limit(fleet, one, 0.0)
     asked: list[int] = []
-    engines = fleet.gateways[0].book.engines
+    engines = fleet.gateways[0].registry.engines
     monkeypatch.setattr(
-        engines, "note_asked", lambda service, tokens, *_: asked.append(tokens)
+        engines,
+        "note_prefill_demand",
+        lambda service, tokens, *_: asked.append(tokens),
     )
     head, _ = await requests.ask(fleet, "/digest/")
     assert head.status == 503
@@ -92,10 +96,10 @@
 async def test_limit_that_begins_while_a_request_waits_for_a_connection(
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    await requests.begin_at_one_that_changes(
+    await requests.check_change_while_connecting(
         fleet,
         monkeypatch,
-        lambda box, name: box.limits.say(name, 0.0, time.monotonic()),
+        lambda box, name: box.limits.report_limit(name, 0.0, time.monotonic()),
     )
 
 
@@ -107,8 +111,8 @@
     fleet.configure(config)
     made = await limited_replicas.start(fleet, builders.ENGINE, 2)
     made[1].limit = None
-    limited_replicas.say(fleet, made[0], 20.0)
-    await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
+    limited_replicas.report_limit(fleet, made[0], 20.0)
+    await boxes.until(lambda: fleet.gateways[0].store_cache.version == 9)
     await requests.ask(fleet, "/chat/")
     [got] = made[1].received
     assert "martenjunction-kv-backup" not in got.headers
@@ -118,23 +122,23 @@
     fleet: boxes.Boxes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     [made] = await limited_replicas.start(fleet, builders.PLAIN, 1)
-    limited_replicas.say(fleet, made, 20.0)
+    limited_replicas.report_limit(fleet, made, 20.0)
     box = fleet.gateways[0]
     returned: list[str] = []
     monkeypatch.setattr(
-        box.grants, "put_back", lambda grant: returned.append(grant.endpoint_id)
+        box.grants, "refund", lambda grant: returned.append(grant.endpoint_id)
     )
     await requests.ask(fleet, "/safe/")
     await asyncio.sleep(0.2)
     # The endpoint begins to leave while the grant is pending.
-    take = box.grants.take
+    take = box.grants.acquire
 
     async def taking(endpoint_id: str) -> object:
         grant = await take(endpoint_id)
-        box.listed.say_leaving(endpoint_id)
+        box.endpoint_list.mark_leaving(endpoint_id)
         return grant
 
-    monkeypatch.setattr(box.grants, "take", taking)
+    monkeypatch.setattr(box.grants, "acquire", taking)
     with contextlib.suppress(errors.TransportError):
         await requests.ask(fleet, "/safe/", "r2")
     assert not made.received
@@ -151,7 +155,7 @@
     [made] = await limited_replicas.start(fleet, builders.PLAIN, 1)
     made.always(behaviour)
     await requests.ask(fleet, "/safe/")
-    assert fleet.gateways[0].book.limits.per_s(made.id) == 1.0
+    assert fleet.gateways[0].registry.limits.per_s(made.id) == 1.0
 
 
 async def test_health_check_response_does_not_clear_a_limit(
@@ -159,12 +163,14 @@
 ) -> None:
     [made] = await limited_replicas.start(fleet, builders.PLAIN, 1)
     box = fleet.gateways[0]
-    limited_replicas.say(fleet, made, 2.0)
+    limited_replicas.report_limit(fleet, made, 2.0)
     made.limit = None
     made.always(Behaviour.REFUSE)
-    await box.prober._ask(box.listed.entries[made.id].endpoint, "/healthz")
+    await box.prober._ask(
+        box.endpoint_list.entries[made.id].endpoint, "/healthz"
+    )
     assert made.received
-    assert box.book.limits.per_s(made.id) == 2.0
+    assert box.registry.limits.per_s(made.id) == 2.0
 
 
 async def test_dump_shows_limits_and_their_holders(
--- a/tests/test_limited_endpoints.py
+++ b/tests/test_limited_endpoints.py
@@ -24,7 +24,7 @@
 async def run_trial(**changes: object) -> limit_outcome.Outcome:
     trial = dataclasses.replace(SHORT, **changes)  # type: ignore[arg-type]
     fleet = limited_endpoints.LimitedFleet(trial)
-    return await fleet.run(builders.patient_config_document())
+    return await fleet.run(builders.relaxed_config_document())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -13,7 +13,7 @@
 def after(*events: outcomes.Event) -> outcomes.RequestProgress:
     progress = outcomes.RequestProgress()
     for event in events:
-        progress.note(event)
+        progress.record(event)
     return progress
 
 
@@ -43,9 +43,9 @@
 
 
 def test_not_repeatable_is_sent_again_only_if_not_run() -> None:
-    assert after(E.SENT, E.REFUSED).may_send_again(repeatable=False)
-    assert not after(E.SENT, E.BROKEN).may_send_again(repeatable=False)
-    assert after(E.SENT, E.BROKEN).may_send_again(repeatable=True)
+    assert after(E.SENT, E.REFUSED).may_retry(repeatable=False)
+    assert not after(E.SENT, E.BROKEN).may_retry(repeatable=False)
+    assert after(E.SENT, E.BROKEN).may_retry(repeatable=True)
 
 
 @given(st.lists(st.sampled_from(list(outcomes.Event)), max_size=12))
@@ -56,7 +56,7 @@
     open_attempts = 0
     for event in events:
         try:
-            progress.note(event)
+            progress.record(event)
         except errors.MartenjunctionError:
             return
         if event is E.SENT:
--- a/tests/test_own_hold_ups.py
+++ b/tests/test_own_hold_ups.py
@@ -15,8 +15,8 @@
 from martenjunction.peers import membership
 from martenjunction.platform import store
 from martenjunction.routing import decision_log
-from martenjunction.routing import endpoint_book
 from martenjunction.routing import endpoint_ejection
+from martenjunction.routing import endpoint_registry
 from martenjunction.routing import prober
 from martenjunction_lab import boxes
 from tests import raw_peers
@@ -38,13 +38,13 @@
     # Guards against treating the store as lost and restarting its watches
     # after a stall of a second: the response arrives while the event loop is
     # blocked, and the timeout, then due, cancelled the read.
-    monkeypatch.setattr(store, "CALL_TIMEOUT_S", raw_peers.HOLD_UP_S / 2)
+    monkeypatch.setattr(store, "CALL_TIMEOUT_S", raw_peers.BLOCK_S / 2)
     calls = store.StoreClient(peer.address)
     asking = asyncio.create_task(calls.watch("config", REVISION, 0.0))
     other_side = await peer.accept()
     assert await peer.request(other_side)
     other_side.send(raw_peers.answer(b'{"current_rev": 5, "events": []}'))
-    raw_peers.hold_up()
+    raw_peers.block_event_loop()
     assert (await asking).revision.number == 5
     calls.close()
 
@@ -52,7 +52,7 @@
 async def test_call_to_a_silent_store_times_out(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(store, "CALL_TIMEOUT_S", raw_peers.HOLD_UP_S / 2)
+    monkeypatch.setattr(store, "CALL_TIMEOUT_S", raw_peers.BLOCK_S / 2)
     calls = store.StoreClient(peer.address)
     asking = asyncio.create_task(calls.watch("config", REVISION, 0.0))
     other_side = await peer.accept()
@@ -112,7 +112,7 @@
     # Guards against a box that never reads from the store again: the OSError
     # ended the reading task, which handles store errors only.
     calls = store.StoreClient(peer.address)
-    monkeypatch.setattr(client.socket, "socket", raw_peers.no_descriptors)
+    monkeypatch.setattr(client.socket, "socket", raw_peers.raise_emfile)
     with pytest.raises(errors.PlatformUnavailableError):
         await calls.get("config", "main")
 
@@ -120,7 +120,7 @@
 async def test_health_check_response_received_before_the_timeout_is_used(
     peer: raw_peers.RawPeer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(prober, "PROBE_TIMEOUT_S", raw_peers.HOLD_UP_S / 2)
+    monkeypatch.setattr(prober, "PROBE_TIMEOUT_S", raw_peers.BLOCK_S / 2)
     connections = pool.EndpointPool(lambda _: 4)
     probes = prober.Prober(
         None,  # type: ignore[arg-type]
@@ -135,7 +135,7 @@
     other_side = await peer.accept()
     assert await peer.request(other_side)
     other_side.send(raw_peers.answer(b""))
-    raw_peers.hold_up()
+    raw_peers.block_event_loop()
     assert await asking
     connections.close()
 
@@ -145,13 +145,13 @@
 TICK_INTERVAL_S = 0.1
 
 
-def book_with_runs(count: int) -> endpoint_book.EndpointBook:
+def book_with_runs(count: int) -> endpoint_registry.EndpointRegistry:
     """Returns a registry whose one endpoint has runs started at 0.0."""
     listed = endpoint_list.EndpointList()
-    listed.take_listing(
+    listed.apply_listing(
         [(builders.endpoint(), builders.rev(1))], builders.rev(5), now=0.0
     )
-    book = endpoint_book.EndpointBook(
+    book = endpoint_registry.EndpointRegistry(
         listed, decision_log.DecisionLog(lambda: 0.0), random.Random(1)
     )
     demand = builders.demand(service=builders.PLAIN, is_engine=False)
@@ -164,7 +164,7 @@
 
 
 def tick_until(
-    book: endpoint_book.EndpointBook, begin: float, end: float
+    book: endpoint_registry.EndpointRegistry, begin: float, end: float
 ) -> str:
     """Ticks at regular intervals; returns the endpoint's state."""
     now = begin
@@ -201,12 +201,12 @@
     clock.subscribe("look", 0.02, lambda: None)
     clock.start()
     await asyncio.sleep(0.05)
-    started, listened = clock.now(), clock.listened()
-    raw_peers.hold_up(0.5)
+    started, listened = clock.now(), clock.stall_adjusted_now()
+    raw_peers.block_event_loop(0.5)
     await asyncio.sleep(0.05)
     passed = clock.now() - started
     await clock.stop()
-    assert clock.listened() - listened < passed / 2
+    assert clock.stall_adjusted_now() - listened < passed / 2
 
 
 async def test_boxes_stay_connected_and_listed_during_a_stall() -> None:
@@ -223,7 +223,7 @@
     entry = boxes.call_json(box._settings.entry, "/resolve?zone=zone-a")
     asking = asyncio.create_task(entry)
     await asyncio.sleep(0)
-    raw_peers.hold_up(hub.SILENCE_LIMIT + 1.0)
+    raw_peers.block_event_loop(hub.SILENCE_TIMEOUT_S + 1.0)
     answer = await asking
     await asyncio.sleep(hub.HEARTBEAT_INTERVAL)
     still_linked = not lost
@@ -238,12 +238,14 @@
     clock = timers.Timers()
     own = membership.Member("own", "zone", "", "", "", 1)
     members = membership.Membership(own, clock, lambda: None)
-    members.met(membership.Member("other", "zone", "", "", "", 1))
-    members.listed(membership.Member("other", "zone", "", "", ""), True, False)
+    members.record_connected(membership.Member("other", "zone", "", "", "", 1))
+    members.update_listed(
+        membership.Member("other", "zone", "", "", ""), True, False
+    )
     clock.subscribe("look", 0.02, lambda: None)
     clock.start()
     await asyncio.sleep(0.05)
-    raw_peers.hold_up(0.5)
+    raw_peers.block_event_loop(0.5)
     await asyncio.sleep(0.05)
     await clock.stop()
-    assert members.silent_for(0.4) == []
+    assert members.silent_boxes(0.4) == []
--- a/tests/test_peer_flow.py
+++ b/tests/test_peer_flow.py
@@ -8,7 +8,7 @@
 
 from martenjunction import errors
 from martenjunction import mailbox
-from martenjunction.decisions.boxes import peer_questions
+from martenjunction.decisions.boxes import peer_queries
 from martenjunction.peers import codec
 from martenjunction.peers import flow
 from martenjunction.peers import messages
@@ -16,7 +16,7 @@
 from martenjunction.routing import peer_messages
 from tests import routing_builders as builders
 
-URGENT = peer_messages.ConfigNews(8, 7, 1, b"")
+URGENT = peer_messages.ConfigUpdate(8, 7, 1, b"")
 
 
 def status(**changes: Any) -> peer_messages.BoxStatus:
@@ -29,7 +29,7 @@
 
 def with_loads(endpoint: str, engine: str, sent: int) -> Any:
     return status(
-        tells_loads=True,
+        has_loads=True,
         endpoints=(endpoint,),
         urgencies=(0,),
         long=(False,),
@@ -88,7 +88,7 @@
     queue.put(codec.Encoded(with_loads("e2", "e2", 20)))
     queue.put(codec.Encoded(status(version=3)))
     [merged] = values(queue)
-    assert (merged.version, merged.tells_loads) == (3, True)
+    assert (merged.version, merged.has_loads) == (3, True)
     assert merged.endpoints == ("e2",)
     assert dict(zip(merged.engines, merged.sent, strict=True)) == {
         "e1": 10,
@@ -108,8 +108,8 @@
     own, other = stalled_control(), control()
     queue = outbox.Outbox(own)
     queue.put(codec.Encoded(status(version=1)))
-    other.note_taken()
-    own.take_frame(other.begin_frame(True))
+    other.record_processed()
+    own.receive_frame(other.begin_frame(True))
     assert values(queue) == [status(version=1)]
 
 
@@ -117,20 +117,20 @@
     clock = Clock()
     own, other = control(clock), control(clock)
     own.begin_frame(True)
-    other.note_taken()
+    other.record_processed()
     clock.now = flow.LATE_ACK_S + 0.1
-    own.take_frame(other.begin_frame(True))
+    own.receive_frame(other.begin_frame(True))
     own.begin_frame(True)
     assert not own.is_open
 
 
 def test_acknowledgment_of_unsent_frames_is_rejected() -> None:
     other = control()
-    other.note_taken()
+    other.record_processed()
     with pytest.raises(errors.PeerError):
-        control().take_frame(other.begin_frame(True))
+        control().receive_frame(other.begin_frame(True))
     with pytest.raises(errors.PeerError):
-        control().take_frame(b"abc")
+        control().receive_frame(b"abc")
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -144,15 +144,15 @@
         clock.now += 0.05
         one = draw.randrange(2)
         own = sides[one]
-        if draw.random() < 0.5 and (own.is_open or own.owes_word):
+        if draw.random() < 0.5 and (own.is_open or own.needs_ack):
             counts = own.is_open
             sent[one] += counts
             wires[one].append((own.begin_frame(counts), counts))
         elif wires[1 - one]:
             frame, counts = wires[1 - one].pop(0)
-            own.take_frame(frame)
+            own.receive_frame(frame)
             if counts:
-                own.note_taken()
+                own.record_processed()
     assert min(sent) > 150
 
 
@@ -161,7 +161,7 @@
     queue = outbox.Outbox(own)
     queue.put(codec.Encoded(status()))
     for _ in range(flow.ACK_AFTER_FRAMES):
-        own.note_taken()
+        own.record_processed()
     assert await queue.get_all() == []
 
 
@@ -180,32 +180,32 @@
     # Guards against a late box that queries all peers every 0.3 s but remembers
     # only the last 64 queries, and so discards answers after some 0.5 s.
     for answer_s in (0.05, 0.5, 1.0, 3.0):
-        queries = peer_questions.PeerQuestions()
+        queries = peer_queries.PeerQueries()
         in_flight: list[tuple[float, int]] = []
         asked = answered = 0
         for step in range(1000):
             now = step * 0.01
             for due, number in [q for q in in_flight if q[0] <= now]:
                 in_flight.remove((due, number))
-                answered += queries.answered(number) is not None
+                answered += queries.complete_query(number) is not None
             for peer in range(36):
-                number = queries.ask(f"box-{peer}", now)
+                number = queries.begin_query(f"box-{peer}", now)
                 if number is not None:
                     asked += 1
                     in_flight.append((now + answer_s, number))
         assert answered == asked - len(in_flight)
         most, wait_s = (
-            peer_questions.MOST_UNDER_WAY,
-            peer_questions.FIRST_WAIT_S,
+            peer_queries.MAX_IN_FLIGHT,
+            peer_queries.INITIAL_TIMEOUT_S,
         )
         assert asked <= most * (10.0 / min(answer_s, wait_s) + 1)
         assert len(in_flight) <= most * (answer_s / wait_s + 1)
 
 
 def test_peer_has_at_most_one_query_in_flight() -> None:
-    queries = peer_questions.PeerQuestions()
-    assert queries.ask("box-1", 0.0) is not None
-    assert queries.ask("box-1", 0.1) is None
-    assert queries.unanswered_by(0.1) == {"box-1"}
-    queries.lost("box-1")
-    assert queries.ask("box-1", 0.2) is not None
+    queries = peer_queries.PeerQueries()
+    assert queries.begin_query("box-1", 0.0) is not None
+    assert queries.begin_query("box-1", 0.1) is None
+    assert queries.unresponsive_peers(0.1) == {"box-1"}
+    queries.drop_peer("box-1")
+    assert queries.begin_query("box-1", 0.2) is not None
--- a/tests/test_peer_traffic.py
+++ b/tests/test_peer_traffic.py
@@ -24,14 +24,14 @@
 
     box: str
     member: membership.Member
-    heard: float = math.inf
+    last_received_at: float = math.inf
     sent: list[Any] = dataclasses.field(default_factory=list)
 
     def send(self, message: Any) -> bool:
         self.sent.append(message)
         return True
 
-    def look(self) -> None:
+    def flush_ack(self) -> None:
         pass
 
 
@@ -61,7 +61,7 @@
     members = membership.Membership(box(own), service, lambda: None)
     for number in range(count):
         if number != own:
-            members.met(box(number))
+            members.record_connected(box(number))
     return hub.PeerHub(
         members, "key", service, events.Events(), status, "127.0.0.1:0"
     )
@@ -75,9 +75,9 @@
     for own in range(87):
         targets = hub_of(87, own, Clock())._targets()
         others = [m for m in targets if m.zone != box(own).zone]
-        assert len(others) == 2 * hub.LINKS_TO_OTHER_ZONE
+        assert len(others) == 2 * hub.LINKS_PER_REMOTE_ZONE
         connections.update(member.box for member in others)
-    assert max(connections.values()) < 4 * hub.LINKS_TO_OTHER_ZONE * 2
+    assert max(connections.values()) < 4 * hub.LINKS_PER_REMOTE_ZONE * 2
 
 
 def links_of(peers: hub.PeerHub, count: int) -> list[FakeLink]:
@@ -90,7 +90,7 @@
 def test_broadcast_message_is_encoded_once() -> None:
     peers = hub_of(30, 0, Clock())
     links = links_of(peers, 30)
-    peers.broadcast(peer_messages.EndpointsLeft(("e1",), builders.rev(7)))
+    peers.broadcast(peer_messages.EndpointsRemoved(("e1",), builders.rev(7)))
     first = links[0].sent[0]
     assert isinstance(first, codec.Encoded)
     assert all(link.sent == [first] for link in links)
@@ -100,14 +100,14 @@
     clock = Clock()
     peers = hub_of(6, 0, clock)
     links = links_of(peers, 6)
-    peers._beat()
+    peers._send_heartbeat()
     clock.now = 0.45
     peers.broadcast(status())
     clock.now = 0.5
-    peers._beat()
+    peers._send_heartbeat()
     assert [len(link.sent) for link in links] == [2] * 5
     clock.now = 1.0
-    peers._beat()
+    peers._send_heartbeat()
     assert [len(link.sent) for link in links] == [3] * 5
 
 
@@ -124,8 +124,8 @@
             clock.now = step * 0.01
             if step == status_at:
                 peers.broadcast(status())
-            if step % round(hub.BEAT_LOOK_S * 100) == 0:
-                peers._beat()
+            if step % round(hub.HEARTBEAT_CHECK_S * 100) == 0:
+                peers._send_heartbeat()
         gaps = [b - a for a, b in itertools.pairwise(times)]
         assert max(gaps) < 0.75
         assert len(times) <= 6
@@ -135,11 +135,11 @@
     clock = Clock()
     peers = hub_of(6, 0, clock)
     links = links_of(peers, 6)
-    peers._beat()
+    peers._send_heartbeat()
     clock.now = 0.45
-    peers.broadcast(peer_messages.EndpointsLeft(("e1",), builders.rev(7)))
+    peers.broadcast(peer_messages.EndpointsRemoved(("e1",), builders.rev(7)))
     clock.now = 0.5
-    peers._beat()
+    peers._send_heartbeat()
     kinds = [message.tag for message in links[0].sent]
     assert kinds == ["box-status", "endpoints-left", "box-status"]
 
@@ -147,7 +147,7 @@
 def test_batches_of_any_size_round_trip() -> None:
     for count in (1, 23, 24, 255, 256):
         batch = [
-            peer_messages.EndpointsLeft((f"e{n}",), builders.rev(n))
+            peer_messages.EndpointsRemoved((f"e{n}",), builders.rev(n))
             for n in range(count)
         ]
         assert codec.decode_batch(codec.encode_batch(batch)) == batch
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -88,21 +88,21 @@
 
 
 def believed(members: membership.Membership) -> set[str]:
-    return {m.box for m in members.believed()}
+    return {m.box for m in members.live_members()}
 
 
 def test_listed_daemon_is_live_until_it_leaves() -> None:
     members = view(Clock())
-    members.listed(member("other", 0), live=True, leaving=False)
+    members.update_listed(member("other", 0), live=True, leaving=False)
     assert believed(members) == {"own", "other"}
-    members.listed(member("other", 0), live=True, leaving=True)
+    members.update_listed(member("other", 0), live=True, leaving=True)
     assert believed(members) == {"own"}
 
 
 def test_connected_daemon_is_live_although_not_listed() -> None:
     clock = Clock()
     members = view(clock)
-    members.met(member("other"))
+    members.record_connected(member("other"))
     assert believed(members) == {"own", "other"}
     clock.now += membership.HEARTBEAT_LIFETIME_S + 1
     assert believed(members) == {"own"}
@@ -110,18 +110,18 @@
 
 def test_leaving_mark_ends_with_a_new_incarnation() -> None:
     members = view(Clock())
-    members.met(member("other", 1))
-    assert members.leaving("other", 1)
-    assert not members.leaving("other", 1)
+    members.record_connected(member("other", 1))
+    assert members.mark_leaving("other", 1)
+    assert not members.mark_leaving("other", 1)
     assert believed(members) == {"own"}
-    members.met(member("other", 2))
+    members.record_connected(member("other", 2))
     assert believed(members) == {"own", "other"}
 
 
 def test_late_leaving_mark_does_not_apply_to_the_next_incarnation() -> None:
     members = view(Clock())
-    members.met(member("other", 2))
-    assert not members.leaving("other", 1)
+    members.record_connected(member("other", 2))
+    assert not members.mark_leaving("other", 1)
     assert "other" in believed(members)
 
 
@@ -131,19 +131,19 @@
     for number in range(count):
         other = member(f"box-{number}")
         other.zone = ("zone", "far-zone")[number % 2]
-        members.listed(other, live=True, leaving=False)
+        members.update_listed(other, live=True, leaving=False)
     return members
 
 
 def test_small_fleet_monitors_all_boxes() -> None:
     members = two_zone_view(6)
-    others = [m for m in members.believed() if m.box != "own"]
-    assert members.near() == others
+    others = [m for m in members.live_members() if m.box != "own"]
+    assert members.monitored_peers() == others
     assert len(others) == 6
 
 
 def test_large_fleet_does_not_monitor_boxes_of_other_zones() -> None:
     members = two_zone_view(60)
     members._timers._clock.now += 60.0  # type: ignore[attr-defined]
-    silent = set(members.silent_for(12.0))
+    silent = set(members.silent_boxes(12.0))
     assert silent == {f"box-{number}" for number in range(0, 60, 2)}
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -27,7 +27,7 @@
 from martenjunction_lab import boxes
 from martenjunction_lab import replica
 from tests import gateway_requests as requests
-from tests import kept_connections
+from tests import keep_alive_connections
 from tests import raw_peers
 from tests import routing_builders as builders
 
@@ -77,14 +77,14 @@
     monkeypatch.setattr(gateway, "LINGER_S", LINGER_S)
     made = await requests.two_plain(fleet)
     box = fleet.gateways[0]
-    kept = await kept_connections.kept(
+    kept = await keep_alive_connections.open_used_connections(
         fleet.addresses[0], COUNT, raw_request("first", path)
     )
     stopping = asyncio.create_task(box.leave())
     await boxes.until(lambda: box.leaving)
     for connection in kept:
         connection.send(raw_request("last", path))
-    raw_peers.hold_up(LINGER_S + 0.2)
+    raw_peers.block_event_loop(LINGER_S + 0.2)
     answers = [await connection.answer() for connection in kept]
     served = sum(b" 200 " in answer for answer in answers)
     assert requests.runs(made, "last") == served
@@ -100,7 +100,7 @@
     await fleet.start(builders.config_document(), boxes=0)
     await fleet.add_box("box-1", stop_s=1.5)
     made = await requests.two_plain(fleet)
-    kept = await kept_connections.kept(
+    kept = await keep_alive_connections.open_used_connections(
         fleet.addresses[0], COUNT, raw_request("first", "/unsafe/x")
     )
     for stand_in in made:
@@ -124,7 +124,7 @@
 ) -> None:
     monkeypatch.setattr(gateway, "LINGER_S", 0.2)
     await requests.two_plain(fleet)
-    kept = await kept_connections.kept(
+    kept = await keep_alive_connections.open_used_connections(
         fleet.addresses[0], COUNT, raw_request("first", "/safe/x")
     )
     assert await stops_by_itself(fleet.gateways[0])
@@ -139,7 +139,7 @@
     monkeypatch.setattr(gateway, "LINGER_S", 0.2)
     await requests.two_plain(fleet)
     whole = raw_request("half", "/safe/x")
-    kept = await kept_connections.kept(
+    kept = await keep_alive_connections.open_used_connections(
         fleet.addresses[0], 2, raw_request("first", "/safe/x")
     )
     kept[0].send(whole[:20])
@@ -160,12 +160,12 @@
     await fleet.add_box("box-1", stop_s=2.4)
     await requests.two_plain(fleet)
     box = fleet.gateways[0]
-    [connection] = await kept_connections.kept(
+    [connection] = await keep_alive_connections.open_used_connections(
         fleet.addresses[0], 1, raw_request("first", "/safe/x")
     )
     stopping = asyncio.create_task(box.leave())
     await boxes.until(
-        lambda: (box._left_for_s() or 0.0) > exchange.MIN_ADMISSION_S
+        lambda: (box._stopping_for_s() or 0.0) > exchange.MIN_ADMISSION_S
     )
     connection.send(raw_request("last", "/safe/x"))
     answer = await connection.answer()
--- a/tests/test_platform_border.py
+++ b/tests/test_platform_border.py
@@ -118,7 +118,7 @@
     status: int, pairs: messages.Headers, not_run: bool
 ) -> None:
     head = messages.ResponseHead(status, pairs)
-    assert headers.is_not_run(head) is not_run
+    assert headers.was_not_executed(head) is not_run
 
 
 @pytest.mark.parametrize(
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from martenjunction.decisions import endpoint_states
-from martenjunction.decisions.cells import asks
+from martenjunction.decisions.cells import dispatch_types
 from martenjunction.decisions.cells import dispatcher
 from martenjunction.decisions.cells import tiers
 from tests import builders
@@ -15,10 +15,10 @@
 )
 NAMES = [f"e{number}" for number in range(1, 4)]
 ENDINGS = [
-    asks.Ending.COMPLETE,
-    asks.Ending.BROKEN,
-    asks.Ending.CANCELLED,
-    asks.Ending.NOT_REACHED,
+    dispatch_types.Ending.COMPLETE,
+    dispatch_types.Ending.BROKEN,
+    dispatch_types.Ending.CANCELLED,
+    dispatch_types.Ending.NOT_REACHED,
 ]
 
 
@@ -29,9 +29,9 @@
         super().__init__()
         self.now = 0.0
         self.cell = builders.cell(3, 2, SETTINGS)
-        self.waiting: dict[str, asks.Ask] = {}
-        self.running: dict[str, asks.Grant] = {}
-        self.asks: dict[str, asks.Ask] = {}
+        self.waiting: dict[str, dispatch_types.SlotRequest] = {}
+        self.running: dict[str, dispatch_types.Grant] = {}
+        self.asks: dict[str, dispatch_types.SlotRequest] = {}
         self.leaving: set[str] = set()
         self.count = 0
 
@@ -66,7 +66,7 @@
 
     @stateful.precondition(lambda self: self.running)
     @stateful.rule(data=st.data(), ending=st.sampled_from(ENDINGS))
-    def end(self, data: st.DataObject, ending: asks.Ending) -> None:
+    def end(self, data: st.DataObject, ending: dispatch_types.Ending) -> None:
         name = data.draw(st.sampled_from(sorted(self.running)))
         self.cell.first_token(name, 0.05, self.now)
         self.cell.ended(builders.end(name, ending), self.now)
@@ -95,7 +95,7 @@
     )
     def report(self, name: str, lag: float, running: int) -> None:
         measured = self.now - lag
-        report = asks.LoadReport(name, measured, running, 0)
+        report = dispatch_types.LoadReport(name, measured, running, 0)
         self.cell.report(report, self.now)
 
     @stateful.rule()
@@ -105,21 +105,21 @@
         for name in self.leaving:
             self.cell.set_leaving(name, self.now)
         for name, grant in self.running.items():
-            run = asks.Run(self.asks[name], grant.endpoint, self.now)
+            run = dispatch_types.Run(self.asks[name], grant.endpoint, self.now)
             self.cell.adopt(run)
         for ask in self.waiting.values():
             self.cell.submit(_firm(ask), self.now)
 
-    def take(self, decisions: list[asks.Decision]) -> None:
+    def take(self, decisions: list[dispatch_types.Decision]) -> None:
         for decision in decisions:
-            if isinstance(decision, asks.Grant):
+            if isinstance(decision, dispatch_types.Grant):
                 self.on_grant(decision)
-            elif isinstance(decision, asks.Shed):
+            elif isinstance(decision, dispatch_types.Shed):
                 self.on_shed(decision)
             else:
                 self.on_preempt(decision)
 
-    def on_grant(self, grant: asks.Grant) -> None:
+    def on_grant(self, grant: dispatch_types.Grant) -> None:
         assert grant.request_id in self.waiting, "granted twice or not waiting"
         assert grant.endpoint not in self.leaving, (
             "granted at a leaving endpoint"
@@ -127,13 +127,13 @@
         del self.waiting[grant.request_id]
         self.running[grant.request_id] = grant
 
-    def on_shed(self, shed: asks.Shed) -> None:
+    def on_shed(self, shed: dispatch_types.Shed) -> None:
         assert shed.request_id in self.waiting, (
             "shed a request that is not waiting"
         )
         tier = self.asks[shed.request_id].tier
         del self.waiting[shed.request_id]
-        if shed.reason is asks.ShedReason.QUEUE_FULL:
+        if shed.reason is dispatch_types.ShedReason.QUEUE_FULL:
             by_tier = [ask.tier for ask in self.waiting.values()]
             lower = [t for t in by_tier if t > tier]
             # Only the oldest request of each lower tier may remain.
@@ -141,7 +141,7 @@
                 "shed in favor of a lower tier"
             )
 
-    def on_preempt(self, preempt: asks.Preempt) -> None:
+    def on_preempt(self, preempt: dispatch_types.Preempt) -> None:
         victim = self.asks[preempt.request_id]
         assert preempt.request_id in self.running
         assert victim.tier > preempt.for_tier, (
@@ -151,7 +151,7 @@
 
     @stateful.invariant()
     def all_requests_are_accounted_for(self) -> None:
-        present = {ask.request_id for ask in self.cell.waiting_asks()}
+        present = {ask.request_id for ask in self.cell.waiting_requests()}
         assert present == set(self.waiting)
         assert self.cell.running == len(self.running)
 
@@ -177,7 +177,7 @@
         """Checks that all requests end once all endpoints are healthy."""
         for name in NAMES:
             self.cell.set_endpoint(name, 2, self.now)
-            report = asks.LoadReport(name, self.now, 0, 0)
+            report = dispatch_types.LoadReport(name, self.now, 0, 0)
             self.cell.report(report, self.now)
         self.leaving.clear()
         for _ in range(400):
@@ -185,7 +185,7 @@
                 return
             self.now += 0.5
             for name in NAMES:
-                report = asks.LoadReport(name, self.now, 0, 0)
+                report = dispatch_types.LoadReport(name, self.now, 0, 0)
                 self.cell.report(report, self.now)
             for name in list(self.running):
                 self.cell.first_token(name, 0.05, self.now)
@@ -196,7 +196,7 @@
         raise AssertionError(f"{len(self.waiting)} requests never ended")
 
 
-def _firm(ask: asks.Ask) -> asks.Ask:
+def _firm(ask: dispatch_types.SlotRequest) -> dispatch_types.SlotRequest:
     return builders.ask(
         ask.request_id,
         tier=ask.tier,
@@ -205,7 +205,7 @@
         preemptible=ask.preemptible,
         arrived=ask.arrived,
         target=ask.target,
-        firm=True,
+        exempt_from_shedding=True,
     )
 
 
--- a/tests/test_rate_grants.py
+++ b/tests/test_rate_grants.py
@@ -21,7 +21,7 @@
 
 async def test_all_boxes_learn_of_a_limit_and_of_its_end() -> None:
     fleet = await fleet_with_limit(2.0)
-    limits = [box.book.limits for box in fleet.boxes.values()]
+    limits = [box.registry.limits for box in fleet.boxes.values()]
     assert {known.per_s(ENDPOINT) for known in limits} == {2.0}
     assert fleet.linked.sent <= fleet.linked.links
     fleet.now += 1.0
@@ -43,7 +43,7 @@
     assert len(fleet.sends) >= 0.5 * limit * seconds
     # Each box gets at most one denial per longest turn, and a message and its
     # answer travel at most the maximum number of hops.
-    asked = linked_boxes.BOXES / grant_bucket.LONGEST_TURN_S + limit
+    asked = linked_boxes.BOXES / grant_bucket.MAX_RETRY_DELAY_S + limit
     hops = 2 * (1 + rate_grants.MAX_HOPS)
     assert fleet.linked.sent - before <= seconds * asked * hops
 
@@ -67,13 +67,13 @@
         holder = box.grants.holder(ENDPOINT)
         if fleet.boxes[holder].grants.holder(ENDPOINT) != holder:
             asker = box
-    assert await asker.grants.take(ENDPOINT) is None
+    assert await asker.grants.acquire(ENDPOINT) is None
     fleet.now += 2.0
-    grant = await asker.grants.take(ENDPOINT)
+    grant = await asker.grants.acquire(ENDPOINT)
     assert grant is not None
-    asker.grants.put_back(grant)
+    asker.grants.refund(grant)
     await fleet.settle()
-    assert await asker.grants.take(ENDPOINT) is not None
+    assert await asker.grants.acquire(ENDPOINT) is not None
 
 
 async def test_unresponsive_holder_is_not_asked_again_at_once(
@@ -88,10 +88,10 @@
     )
     node = fleet.linked.nodes[holder]
     node.subscribe(peer_messages.AskGrant, lambda box, message: None)
-    assert await asker.grants.take(ENDPOINT) is None
+    assert await asker.grants.acquire(ENDPOINT) is None
     # The box does not ask it again immediately.
     before = fleet.linked.sent
-    assert await asker.grants.take(ENDPOINT) is None
+    assert await asker.grants.acquire(ENDPOINT) is None
     assert fleet.linked.sent == before
 
 
@@ -108,20 +108,20 @@
         == box.grants.holder(ENDPOINT)
         != box.name
     )
-    await holder.grants.take(ENDPOINT)
+    await holder.grants.acquire(ENDPOINT)
     fleet.now += 10.0
     questions: list[tuple[str, peer_messages.AskGrant]] = []
     fleet.linked.nodes[holder.name].subscribe(
         peer_messages.AskGrant, lambda *question: questions.append(question)
     )
-    assert await asker.grants.take(ENDPOINT) is None
+    assert await asker.grants.acquire(ENDPOINT) is None
     holder.grants._on_ask(*questions[0])
-    assert holder.grants.given == 1
+    assert holder.grants.granted == 1
     await fleet.settle()
     # The bucket is back at its maximum of two grants.
-    assert await holder.grants.take(ENDPOINT) is not None
-    assert await holder.grants.take(ENDPOINT) is not None
-    assert await holder.grants.take(ENDPOINT) is None
+    assert await holder.grants.acquire(ENDPOINT) is not None
+    assert await holder.grants.acquire(ENDPOINT) is not None
+    assert await holder.grants.acquire(ENDPOINT) is None
 
 
 async def test_box_with_a_stale_limit_learns_of_its_end_from_the_holder() -> (
@@ -131,7 +131,7 @@
     fleet.now += 1.0
     for name, box in fleet.boxes.items():
         if name != "box-3":
-            box.book.limits.take(ENDPOINT, None, fleet.now)
+            box.registry.limits.apply_peer_report(ENDPOINT, None, fleet.now)
     asker = fleet.boxes["box-3"]
-    assert await asker.grants.take(ENDPOINT) is not None
-    assert asker.book.limits.per_s(ENDPOINT) is None
+    assert await asker.grants.acquire(ENDPOINT) is not None
+    assert asker.registry.limits.per_s(ENDPOINT) is None
--- a/tests/test_reading_demand.py
+++ b/tests/test_reading_demand.py
@@ -6,20 +6,20 @@
 from hypothesis import strategies as st
 
 from martenjunction.decisions.boxes import endpoint_choice
-from martenjunction.decisions.boxes import reading_demand
+from martenjunction.decisions.boxes import prefill_demand
 from tests import routing_builders as builders
 
-RATES = reading_demand.ReadingRates
+RATES = prefill_demand.PrefillRates
 
 
 def reserved_count(
-    count: int, asked: reading_demand.ReadingRates, running: int
+    count: int, asked: prefill_demand.PrefillRates, running: int
 ) -> int:
     """Returns how many of some engines are reserved for short streams."""
     records = [builders.record(f"e{number}") for number in range(count)]
-    demand = builders.demand(asked=asked)
+    demand = builders.demand(prefill_rates=asked)
     records[0].loads.add(demand.load_key, running, 0)
-    return len(endpoint_choice.kept_for_short(records, demand, 10.0))
+    return len(endpoint_choice.reserved_for_short(records, demand, 10.0))
 
 
 def test_bursts_of_long_prompts_get_engines_by_demand() -> None:
@@ -53,28 +53,28 @@
 
 
 def test_refused_requests_count_as_demand() -> None:
-    demand = reading_demand.ReadingDemand()
+    demand = prefill_demand.PrefillDemand()
     for number in range(60):
-        demand.note(3_000, True, 10.0 + number * 0.1)
-        demand.note(600, False, 10.0 + number * 0.1)
-    rates = demand.own(16.0)
+        demand.record_request(3_000, True, 10.0 + number * 0.1)
+        demand.record_request(600, False, 10.0 + number * 0.1)
+    rates = demand.own_rates(16.0)
     assert 24_000 < rates.long < 32_000
     assert 4_800 < rates.short < 6_400
-    assert demand.own(40.0).long < 30
+    assert demand.own_rates(40.0).long < 30
 
 
 def test_demand_of_peers_is_added_and_expires() -> None:
-    demand = reading_demand.ReadingDemand()
-    demand.take_peer("b", RATES(10.0, 20.0), 10.0)
-    demand.take_peer("c", RATES(1.0, 2.0), 10.0)
-    demand.take_peer("b", RATES(30.0, 40.0), 10.5)
-    assert demand.total(10.6) == RATES(31.0, 42.0)
-    assert demand.total(11.8) == RATES(30.0, 40.0)
+    demand = prefill_demand.PrefillDemand()
+    demand.update_peer("b", RATES(10.0, 20.0), 10.0)
+    demand.update_peer("c", RATES(1.0, 2.0), 10.0)
+    demand.update_peer("b", RATES(30.0, 40.0), 10.5)
+    assert demand.total_rates(10.6) == RATES(31.0, 42.0)
+    assert demand.total_rates(11.8) == RATES(30.0, 40.0)
 
 
 def test_boxes_with_equal_totals_reserve_the_same_engines() -> None:
     records = [builders.record(f"e{number}") for number in range(9)]
-    demand = builders.demand(asked=RATES(9_000.0, 30_000.0))
-    first = endpoint_choice.kept_for_short(records, demand, 10.0)
+    demand = builders.demand(prefill_rates=RATES(9_000.0, 30_000.0))
+    first = endpoint_choice.reserved_for_short(records, demand, 10.0)
     random.Random(3).shuffle(records)
-    assert endpoint_choice.kept_for_short(records, demand, 10.0) == first
+    assert endpoint_choice.reserved_for_short(records, demand, 10.0) == first
--- a/tests/test_ready_and_closed.py
+++ b/tests/test_ready_and_closed.py
@@ -54,7 +54,7 @@
         b"POST", path.encode(), pairs, received_at=time.monotonic()
     )
     return exchange.Exchange(
-        fleet.gateways[0]._tools,
+        fleet.gateways[0]._context,
         connection,  # type: ignore[arg-type]
         request,
     )
@@ -104,7 +104,7 @@
     run = await peer.accept()
     assert await peer.request(run)
     run.send(sealed(body))
-    raw_peers.hold_up(0.5)
+    raw_peers.block_event_loop(0.5)
     head, got = await asked
     assert (head.status, got) == (200, body)
 
@@ -119,7 +119,7 @@
     run = await peer.accept()
     assert await peer.request(run)
     run.send(sealed(b"answer")[:-1])
-    raw_peers.hold_up(0.5)
+    raw_peers.block_event_loop(0.5)
     head, _ = await asked
     assert head.status == 504
     assert await peer.request(run) == b""
@@ -188,7 +188,7 @@
     with pytest.raises(errors.ConnectionLostError):
         await exchange_on(fleet, connection).run()
     assert requests.arrivals(made) == 0
-    assert fleet.gateways[0].book.running == 0
+    assert fleet.gateways[0].registry.running == 0
 
 
 async def test_failure_of_the_watch_leaves_no_run_behind(
@@ -203,7 +203,7 @@
     connection.on_watch = fail
     await exchange_on(fleet, connection).run()
     assert connection.statuses == [502]
-    await boxes.until(lambda: fleet.gateways[0].book.running == 0)
+    await boxes.until(lambda: fleet.gateways[0].registry.running == 0)
 
 
 async def test_unexpected_error_after_a_send_is_answered_and_logged(
@@ -218,7 +218,7 @@
     def fail(*_: object) -> NoReturn:
         raise RuntimeError("registry failure")
 
-    monkeypatch.setattr(fleet.gateways[0].book, "heard", fail)
+    monkeypatch.setattr(fleet.gateways[0].registry, "note_response", fail)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
     assert requests.runs(made) == 1
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -27,56 +27,56 @@
 
 def known_with(endpoint: model.Endpoint) -> endpoint_list.EndpointList:
     made = endpoint_list.EndpointList()
-    made.take_listing([(endpoint, rev(3))], rev(5), now=0.0)
+    made.apply_listing([(endpoint, rev(3))], rev(5), now=0.0)
     return made
 
 
 def test_later_incarnation_replaces_the_earlier_one() -> None:
     known = known_with(incarnation(1))
-    assert known.take_change(incarnation(2), rev(6)) == ["e1/1"]
+    assert known.apply_entry(incarnation(2), rev(6)) == ["e1/1"]
     assert known.ready_ids() == ["e1/2"]
     assert known.restarted("e1/1") and not known.restarted("e1/2")
 
 
 def test_incarnations_are_ordered_by_revision_not_by_clock() -> None:
     known = known_with(incarnation(2000))
-    known.take_change(incarnation(1000), rev(6))
+    known.apply_entry(incarnation(1000), rev(6))
     assert known.ready_ids() == ["e1/1000"]
 
 
 def test_late_updates_of_the_earlier_incarnation_change_nothing() -> None:
     known = known_with(incarnation(1))
-    known.take_change(incarnation(2), rev(6))
-    assert known.take_change(incarnation(1, DRAINING), rev(5)) == []
-    assert not known.leave("e1/1", rev(7))
+    known.apply_entry(incarnation(2), rev(6))
+    assert known.apply_entry(incarnation(1, DRAINING), rev(5)) == []
+    assert not known.mark_draining("e1/1", rev(7))
     assert known.ready_ids() == ["e1/2"]
-    assert known.take_end("e1", rev(5), 1.0) == []
+    assert known.apply_removal("e1", rev(5), 1.0) == []
     assert known.ready_ids() == ["e1/2"]
-    assert known.take_end("e1", rev(8), 1.0) == ["e1/2"]
-    assert known.take_change(incarnation(1), rev(7)) == []
+    assert known.apply_removal("e1", rev(8), 1.0) == ["e1/2"]
+    assert known.apply_entry(incarnation(1), rev(7)) == []
     assert known.ready_ids() == []
 
 
 def test_draining_mark_ends_with_the_incarnation() -> None:
     known = known_with(incarnation(1))
-    known.take_change(incarnation(1, DRAINING), rev(6))
-    known.take_change(incarnation(2), rev(7))
-    assert known.may_send("e1/2")
+    known.apply_entry(incarnation(1, DRAINING), rev(6))
+    known.apply_entry(incarnation(2), rev(7))
+    assert known.is_ready("e1/2")
 
 
 def test_restart_found_in_a_listing_has_no_grace() -> None:
     known = known_with(incarnation(1))
     known.store_lost()
     known.store_returned(14.0, away_s=4.0)
-    assert known.take_listing([(incarnation(2), rev(8))], rev(9), now=14.0) == [
-        "e1/1"
-    ]
+    assert known.apply_listing(
+        [(incarnation(2), rev(8))], rev(9), now=14.0
+    ) == ["e1/1"]
     assert known.ready_ids() == ["e1/2"]
 
 
 def test_restart_reported_by_a_peer() -> None:
     known = known_with(incarnation(1))
-    assert known.take_view(
+    assert known.apply_peer_view(
         [(incarnation(2), rev(8))], {"e1/2"}, rev(9), 1.0
     ) == ["e1/1"]
     assert known.ready_ids() == ["e1/2"]
@@ -90,7 +90,7 @@
     fleet.record(made, builders.PLAIN, born=2)
     now = f"{made.id}/2"
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.listed.may_send(now))
+    await boxes.until(lambda: box.endpoint_list.is_ready(now))
     return now
 
 
@@ -100,7 +100,7 @@
     made = await fleet.add_replica(service)
     fleet.record(made, service, born=1)
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.listed.may_send(f"{made.id}/1"))
+    await boxes.until(lambda: box.endpoint_list.is_ready(f"{made.id}/1"))
     return made
 
 
@@ -147,21 +147,21 @@
     made = await with_one(fleet)
     box = fleet.gateways[0]
     await requests.ask(fleet, "/safe/")
-    record = box.book.records[f"{made.id}/1"]
+    record = box.registry.records[f"{made.id}/1"]
     record.slowness.add(5.0)
-    record.refusals.refuse(box.timers.now())
-    box.book.rest(f"{made.id}/1", 100.0, box.timers.now())
+    record.refusals.record_refusal(box.timers.now())
+    box.registry.start_backoff(f"{made.id}/1", 100.0, box.timers.now())
     for _ in range(9):
-        box.book.broken(f"{made.id}/1", box.timers.now())
+        box.registry.note_broken_response(f"{made.id}/1", box.timers.now())
     assert record.health.state == "ejected"
     restarted_id = await restart(fleet, made)
     head, _ = await requests.ask(fleet, "/safe/")
     assert head.status == 200
-    fresh = box.book.records[restarted_id]
+    fresh = box.registry.records[restarted_id]
     assert fresh is not record
     assert fresh.health.state == "routing"
     assert fresh.slowness.value < 2.0
-    await boxes.until(lambda: f"{made.id}/1" not in box.book.records)
+    await boxes.until(lambda: f"{made.id}/1" not in box.registry.records)
 
 
 async def test_cached_parts_and_copies_end_with_the_incarnation(
@@ -170,14 +170,14 @@
     made = await with_one(fleet, builders.ENGINE)
     box = fleet.gateways[0]
     await requests.ask(fleet, "/chat/")
-    record = box.book.records[f"{made.id}/1"]
-    assert record.held([("aa", 100), ("bb", 400)]) == 500
+    record = box.registry.records[f"{made.id}/1"]
+    assert record.cached_tokens([("aa", 100), ("bb", 400)]) == 500
     fleet.record(made, builders.ENGINE, born=2)
-    await boxes.until(lambda: box.listed.may_send(f"{made.id}/2"))
+    await boxes.until(lambda: box.endpoint_list.is_ready(f"{made.id}/2"))
     # Copies of a KV cache are requested from the incarnation that holds them.
-    assert not box.listed.may_send(f"{made.id}/1")
+    assert not box.endpoint_list.is_ready(f"{made.id}/1")
     await requests.ask(fleet, "/chat/", "r2")
-    fresh = box.book.records[f"{made.id}/2"]
+    fresh = box.registry.records[f"{made.id}/2"]
     assert fresh is not record
     # The request's own part has to be prefilled again.
     assert fresh.sent_tokens >= 400
@@ -193,7 +193,7 @@
         asyncio.create_task(requests.ask(fleet, "/unsafe/", f"r{n}"))
         for n in range(3)
     ]
-    record = box.book.records
+    record = box.registry.records
     await boxes.until(
         lambda: (
             record[f"{made.id}/1"].health.state == "ejected"
@@ -214,16 +214,16 @@
     one = await made.add_replica(builders.PLAIN)
     made.record(one, builders.PLAIN, born=1)
     await boxes.until(
-        lambda: all(b.listed.may_send("i-1/1") for b in made.gateways)
+        lambda: all(b.endpoint_list.is_ready("i-1/1") for b in made.gateways)
     )
     made.record(one, builders.PLAIN, born=2)
     await boxes.until(
-        lambda: all(b.listed.may_send("i-1/2") for b in made.gateways)
+        lambda: all(b.endpoint_list.is_ready("i-1/2") for b in made.gateways)
     )
     box = made.gateways[0]
-    later = rev(box.listed.revision.number + 5)
-    box.picture.take_left(("i-1/1",), later)
-    box.book.take_peer_loads("box-2", [("i-1/1", 0, False, 9, 900)], 0.0)
-    is_ready = box.listed.may_send("i-1/2")
+    later = rev(box.endpoint_list.revision.number + 5)
+    box.store_cache.apply_removals(("i-1/1",), later)
+    box.registry.update_peer_loads("box-2", [("i-1/1", 0, False, 9, 900)], 0.0)
+    is_ready = box.endpoint_list.is_ready("i-1/2")
     await made.stop()
     assert is_ready
--- a/tests/test_resting_endpoints.py
+++ b/tests/test_resting_endpoints.py
@@ -39,7 +39,7 @@
 ) -> tuple[telling_endpoints.TellingFleet, telling_outcome.Outcome]:
     changed_trial = dataclasses.replace(SHORT, **changes)  # type: ignore[arg-type]
     fleet = telling_endpoints.TellingFleet(changed_trial)
-    return fleet, await fleet.run(builders.patient_config_document())
+    return fleet, await fleet.run(builders.relaxed_config_document())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_routing_decisions.py
+++ b/tests/test_routing_decisions.py
@@ -6,28 +6,28 @@
 from hypothesis import strategies as st
 
 from martenjunction.decisions import endpoint_states
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_choice
 from martenjunction.decisions.boxes import endpoint_loads
 from martenjunction.decisions.boxes import endpoint_records
-from martenjunction.decisions.boxes import key_freshness
-from martenjunction.decisions.boxes import repeat_budget
-from martenjunction.decisions.boxes import shedding
-from martenjunction.routing import endpoint_book
+from martenjunction.decisions.boxes import load_shedding
+from martenjunction.decisions.boxes import retry_budget
+from martenjunction.routing import endpoint_registry
 from tests import routing_builders as builders
 
 # Freshness of the configuration.
 
 
 def test_no_request_is_covered_without_confirmation() -> None:
-    fresh = key_freshness.ConfigFreshness(5.0, 0.25, 2.0)
-    assert not fresh.covers(0.0)
+    fresh = config_freshness.ConfigFreshness(5.0, 0.25, 2.0)
+    assert not fresh.allows_keys_at(0.0)
 
 
 def test_confirmation_counts_from_the_query() -> None:
-    fresh = key_freshness.ConfigFreshness(5.0, 0.25, 2.0)
+    fresh = config_freshness.ConfigFreshness(5.0, 0.25, 2.0)
     fresh.confirm(asked_at=10.0)
-    assert fresh.covers(14.7)
-    assert not fresh.covers(14.8)
+    assert fresh.allows_keys_at(14.7)
+    assert not fresh.allows_keys_at(14.8)
     fresh.confirm(asked_at=8.0)
     assert fresh.confirmed_at == 10.0
 
@@ -43,16 +43,16 @@
 def test_retries_stay_within_ratio_and_allowance_in_every_window(
     steps: list[tuple[float, bool]],
 ) -> None:
-    budget = repeat_budget.RepeatBudget(0.2, 52.0, 10.0, lambda: 6)
+    budget = retry_budget.RetryBudget(0.2, 52.0, 10.0, lambda: 6)
     now = 0.0
     requests: list[float] = []
     retries: list[float] = []
     for pause, is_request in steps:
         now += pause
         if is_request:
-            budget.note_request("s", now)
+            budget.record_request("s", now)
             requests.append(now)
-        elif budget.take("s", now):
+        elif budget.try_acquire("s", now):
             retries.append(now)
             in_window = [t for t in retries if t >= now - 10.0]
             came = [t for t in requests if t >= now - 10.0]
@@ -60,9 +60,9 @@
 
 
 def test_requests_of_a_service_without_retries_expire() -> None:
-    budget = repeat_budget.RepeatBudget(0.2, 52.0, 10.0, lambda: 6)
+    budget = retry_budget.RetryBudget(0.2, 52.0, 10.0, lambda: 6)
     for second in range(1000):
-        budget.note_request("s", float(second))
+        budget.record_request("s", float(second))
     assert len(budget._requests["s"]) <= 12
 
 
@@ -110,10 +110,10 @@
 def test_more_endpoints_are_reserved_while_many_short_streams_run() -> None:
     records = five()
     short = builders.demand()
-    before = endpoint_choice.kept_for_short(records, short, 10.0)
+    before = endpoint_choice.reserved_for_short(records, short, 10.0)
     for _ in range(40):
         records[0].loads.add(short.load_key, 1, 0)
-    after = endpoint_choice.kept_for_short(records, short, 10.0)
+    after = endpoint_choice.reserved_for_short(records, short, 10.0)
     assert before < after
     assert len(after) == 2
 
@@ -121,15 +121,15 @@
 def test_none_is_reserved_if_streams_tolerate_prefill() -> None:
     # Five tokens per event, each delayed by a chunk: 0.22 s of 0.25 s.
     demand = builders.demand(tokens_per_event=5)
-    assert demand.reads_beside_streams
-    assert endpoint_choice.kept_for_short(five(), demand, 10.0) == set()
-    assert not builders.demand(tokens_per_event=6).reads_beside_streams
+    assert demand.tolerates_prefill
+    assert endpoint_choice.reserved_for_short(five(), demand, 10.0) == set()
+    assert not builders.demand(tokens_per_event=6).tolerates_prefill
 
 
 def test_another_endpoint_is_reserved_when_one_is_ejected() -> None:
     records = five()
     demand = builders.demand()
-    [reserved] = endpoint_choice.kept_for_short(records, demand, 10.0)
+    [reserved] = endpoint_choice.reserved_for_short(records, demand, 10.0)
     broken = next(r for r in records if r.id == reserved)
     broken.health.move(endpoint_states.EndpointEvent.OUTLIER, 10.0)
     assert choose(records, demand) != reserved
@@ -155,8 +155,8 @@
     loads = builders.record().loads
     loads.add(builders.demand(urgency=3).load_key, 2, 0)
     # Urgencies 2 and 3 belong to one route tier with two workspace tiers.
-    assert loads.lower_tiers(2, 0.0) == 0
-    assert loads.lower_tiers(1, 0.0) == 2
+    assert loads.running_below(2, 0.0) == 0
+    assert loads.running_below(1, 0.0) == 2
 
 
 def test_affinity_yields_to_a_large_backlog() -> None:
@@ -173,14 +173,14 @@
 def test_less_urgent_tokens_are_not_ahead_of_more_urgent_ones() -> None:
     record = builders.record()
     record.loads.add(builders.demand(urgency=5).load_key, 1, 50_000)
-    assert record.loads.ahead(0, 0.0) == 0
-    assert record.loads.ahead(5, 0.0) == 50_000
+    assert record.loads.tokens_ahead(0, 0.0) == 0
+    assert record.loads.tokens_ahead(5, 0.0) == 50_000
 
 
 def test_peer_loads_expire() -> None:
     record = builders.record()
     key = builders.demand().load_key
-    record.loads.take_peer(
+    record.loads.update_peer(
         "box-2", {key: endpoint_loads.Load(3, 900)}, now=10.0
     )
     assert record.loads.running(10.5) == 3
@@ -199,60 +199,60 @@
 
 def test_one_late_first_event_does_not_make_an_engine_slow() -> None:
     record = builders.record()
-    record.slowness.add(endpoint_book.SLOWNESS[1])
+    record.slowness.add(endpoint_registry.SLOWNESS_BOUNDS[1])
     assert record.slowness.value < 1.2
     for _ in range(40):
-        record.slowness.add(endpoint_book.SLOWNESS[1])
+        record.slowness.add(endpoint_registry.SLOWNESS_BOUNDS[1])
     assert record.slowness.value > 3.0
 
 
 def test_cached_parts_are_bounded_by_the_cache_size() -> None:
     record = builders.record(cache_tokens=1000)
-    record.remember([("a", 600)])
-    record.remember([("b", 600)])
-    assert record.held([("a", 600)]) == 0
-    assert record.held([("b", 600)]) == 600
+    record.record_cached([("a", 600)])
+    record.record_cached([("b", 600)])
+    assert record.cached_tokens([("a", 600)]) == 0
+    assert record.cached_tokens([("b", 600)]) == 600
 
 
 # Load shedding.
 
 
-def forecast(**changes: object) -> shedding.Prospect:
+def forecast(**changes: object) -> load_shedding.AdmissionForecast:
     values: dict[str, object] = {
         "predicted_s": 2.0,
         "target_s": 1.0,
-        "came_back": False,
+        "is_retry": False,
         "busy": True,
     }
     values.update(changes)
-    return shedding.Prospect(**values)  # type: ignore[arg-type]
+    return load_shedding.AdmissionForecast(**values)  # type: ignore[arg-type]
 
 
 def test_late_request_gets_a_retry_delay() -> None:
-    pause = shedding.retry_after_s(forecast())
+    pause = load_shedding.retry_after_s(forecast())
     assert pause is not None
-    assert shedding.MIN_RETRY_S <= pause <= shedding.MAX_RETRY_S
+    assert load_shedding.MIN_RETRY_S <= pause <= load_shedding.MAX_RETRY_S
 
 
 def test_nothing_is_refused_on_an_idle_endpoint() -> None:
-    assert shedding.retry_after_s(forecast(busy=False)) is None
+    assert load_shedding.retry_after_s(forecast(busy=False)) is None
 
 
 def test_request_in_time_is_admitted() -> None:
-    assert shedding.retry_after_s(forecast(predicted_s=0.5)) is None
+    assert load_shedding.retry_after_s(forecast(predicted_s=0.5)) is None
 
 
 def test_retry_is_refused_later_than_a_new_request() -> None:
-    assert shedding.retry_after_s(forecast(predicted_s=0.9)) is not None
-    back = forecast(predicted_s=0.9, came_back=True)
-    assert shedding.retry_after_s(back) is None
-    late = forecast(predicted_s=1.1, came_back=True)
-    assert shedding.retry_after_s(late) is not None
+    assert load_shedding.retry_after_s(forecast(predicted_s=0.9)) is not None
+    back = forecast(predicted_s=0.9, is_retry=True)
+    assert load_shedding.retry_after_s(back) is None
+    late = forecast(predicted_s=1.1, is_retry=True)
+    assert load_shedding.retry_after_s(late) is not None
 
 
 def test_request_with_a_shorter_deadline_is_a_retry() -> None:
-    book = shedding.DeadlineBook()
-    assert not book.came_back("r", 4.0)
-    assert not book.came_back("r", 4.0)
-    assert book.came_back("r", 2.7)
-    assert not book.came_back("r", None)
+    book = load_shedding.DeadlineTracker()
+    assert not book.is_retry("r", 4.0)
+    assert not book.is_retry("r", 4.0)
+    assert book.is_retry("r", 2.7)
+    assert not book.is_retry("r", None)
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -17,12 +17,12 @@
 from martenjunction import errors
 from martenjunction import model
 from martenjunction import revisions
+from martenjunction.decisions.boxes import config_freshness
 from martenjunction.decisions.boxes import endpoint_list
-from martenjunction.decisions.boxes import key_freshness
 from martenjunction.platform import store
 from martenjunction.routing import admission
 from martenjunction.routing import decision_log
-from martenjunction.routing import picture
+from martenjunction.routing import store_cache
 from martenjunction_lab import platform
 from tests import routing_builders as builders
 
@@ -46,7 +46,7 @@
 def list_after_restore(*ids: str) -> endpoint_list.EndpointList:
     """Returns a list from era 1 for which era 2 began at revision 30."""
     made = endpoint_list.EndpointList()
-    made.take_listing(
+    made.apply_listing(
         [(builders.endpoint(i), rev(40)) for i in ids], rev(50), now=0.0
     )
     made.begin_era(rev(30, era=2), now=10.0)
@@ -59,34 +59,34 @@
 
 def test_update_of_a_later_era_applies_despite_a_lower_number() -> None:
     known = list_after_restore("e1")
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
-    known.take_change(builders.endpoint("e2"), rev(31, era=2))
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    known.apply_entry(builders.endpoint("e2"), rev(31, era=2))
     assert known.ready_ids() == ["e1", "e2"]
-    left = known.take_change(builders.endpoint("e1", DRAINING), rev(32, era=2))
+    left = known.apply_entry(builders.endpoint("e1", DRAINING), rev(32, era=2))
     assert left == ["e1"]
 
 
 def test_view_of_an_earlier_era_is_ignored() -> None:
     known = list_after_restore("e1")
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
-    assert known.take_view([], set(), rev(99), 10.0) == []
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    assert known.apply_peer_view([], set(), rev(99), 10.0) == []
     assert known.ready_ids() == ["e1"]
 
 
 def test_entry_missing_from_the_copy_is_kept_if_written_again() -> None:
     known = list_after_restore("e1", "e2")
     assert (
-        known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0) == []
+        known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0) == []
     )
     assert known.ready_ids() == ["e1", "e2"]
-    known.take_change(builders.endpoint("e2"), rev(31, era=2))
+    known.apply_entry(builders.endpoint("e2"), rev(31, era=2))
     assert known.expire(13.0) == []
     assert known.ready_ids() == ["e1", "e2"]
 
 
 def test_entry_missing_from_the_copy_is_dropped_after_its_grace() -> None:
     known = list_after_restore("e1", "e2")
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
     assert known.expire(11.9) == []
     assert known.expire(12.1) == ["e2"]
 
@@ -94,15 +94,16 @@
 def test_view_right_after_a_restore_ends_no_endpoint_at_once() -> None:
     known = list_after_restore("e1", "e2")
     assert (
-        known.take_view(copy_entries("e1"), {"e1"}, rev(30, era=2), 10.0) == []
+        known.apply_peer_view(copy_entries("e1"), {"e1"}, rev(30, era=2), 10.0)
+        == []
     )
     assert known.expire(12.1) == ["e2"]
 
 
 def test_draining_endpoint_stays_draining_if_the_copy_says_ready() -> None:
     known = list_after_restore("e1")
-    known.leave("e1", rev(50))
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    known.mark_draining("e1", rev(50))
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
     assert known.ready_ids() == []
 
 
@@ -110,35 +111,35 @@
     """Returns a list for which e2 ended but is in the restored copy."""
     known = endpoint_list.EndpointList()
     entries = [(builders.endpoint(i), rev(20)) for i in ("e1", "e2")]
-    known.take_listing(entries, rev(25), now=0.0)
-    known.take_end("e2", rev(40), 1.0)
+    known.apply_listing(entries, rev(25), now=0.0)
+    known.apply_removal("e2", rev(40), 1.0)
     known.begin_era(rev(30, era=2), now=10.0)
-    known.take_listing(copy_entries("e1", "e2"), rev(30, era=2), now=10.0)
+    known.apply_listing(copy_entries("e1", "e2"), rev(30, era=2), now=10.0)
     return known
 
 
 def test_ended_endpoint_is_not_restored_by_the_copy() -> None:
     known = list_with_unconfirmed_entry()
     assert known.ready_ids() == ["e1"]
-    known.take_end("e2", rev(33, era=2), 13.6)
+    known.apply_removal("e2", rev(33, era=2), 13.6)
     known.expire(10.0 + endpoint_list.CONFIRMATION_S)
     assert known.ready_ids() == ["e1"]
 
 
 def test_ended_endpoint_is_not_restored_by_a_peer() -> None:
     known = list_with_unconfirmed_entry()
-    known.take_view(
+    known.apply_peer_view(
         copy_entries("e1", "e2"), {"e1", "e2"}, rev(31, era=2), 11.0
     )
     assert known.ready_ids() == ["e1"]
-    known.take_view([], {"e1"}, rev(32, era=2), 12.0)
+    known.apply_peer_view([], {"e1"}, rev(32, era=2), 12.0)
     known.expire(10.0 + endpoint_list.CONFIRMATION_S)
     assert known.ready_ids() == ["e1"]
 
 
 def test_restored_entry_is_accepted_once_written_again() -> None:
     known = list_with_unconfirmed_entry()
-    known.take_change(builders.endpoint("e2"), rev(31, era=2))
+    known.apply_entry(builders.endpoint("e2"), rev(31, era=2))
     assert known.ready_ids() == ["e1", "e2"]
 
 
@@ -156,27 +157,27 @@
         return dataclasses.replace(made, name="e1")
 
     known = endpoint_list.EndpointList()
-    known.take_listing([(start(1), rev(20))], rev(25), now=0.0)
-    known.take_change(start(2), rev(40))
+    known.apply_listing([(start(1), rev(20))], rev(25), now=0.0)
+    known.apply_entry(start(2), rev(40))
     known.begin_era(rev(30, era=2), now=10.0)
-    known.take_listing([(start(1), rev(20, era=2))], rev(30, era=2), now=10.0)
+    known.apply_listing([(start(1), rev(20, era=2))], rev(30, era=2), now=10.0)
     assert known.ready_ids() == ["e1/2"]
-    known.take_change(start(2), rev(31, era=2))
+    known.apply_entry(start(2), rev(31, era=2))
     known.expire(20.0)
     assert known.ready_ids() == ["e1/2"]
 
 
 def test_leave_of_an_earlier_era_applies_to_a_restored_entry() -> None:
     known = list_after_restore("e1")
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
-    assert known.leave("e1", rev(50))
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    assert known.mark_draining("e1", rev(50))
 
 
 def test_leave_of_an_earlier_era_is_ignored_after_a_new_write() -> None:
     known = list_after_restore("e1")
-    known.take_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
-    known.take_change(builders.endpoint("e1"), rev(31, era=2))
-    assert not known.leave("e1", rev(50))
+    known.apply_listing(copy_entries("e1"), rev(30, era=2), now=10.0)
+    known.apply_entry(builders.endpoint("e1"), rev(31, era=2))
+    assert not known.mark_draining("e1", rev(50))
 
 
 # The configuration.
@@ -187,19 +188,19 @@
 
 
 def test_older_configuration_is_not_a_confirmation() -> None:
-    freshness = key_freshness.ConfigFreshness(5.0, 0.25, 2.0)
+    freshness = config_freshness.ConfigFreshness(5.0, 0.25, 2.0)
     log = decision_log.DecisionLog(lambda: 0.0)
-    known = picture.Picture(
+    known = store_cache.StoreCache(
         admission.Admitter(freshness, True, random.Random(1)),
         endpoint_list.EndpointList(),
         freshness,
         log,
         lambda: 0.0,
     )
-    known.take_config(encode_config(9), 1.0, "store")
-    known.take_config(encode_config(7), 2.0, "store")
+    known.apply_config(encode_config(9), 1.0, "store")
+    known.apply_config(encode_config(7), 2.0, "store")
     assert (known.version, freshness.confirmed_at) == (9, 1.0)
-    known.take_config(encode_config(9), 3.0, "store")
+    known.apply_config(encode_config(9), 3.0, "store")
     assert freshness.confirmed_at == 3.0
 
 
--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -52,14 +52,14 @@
     await fleet.until_listed()
     fleet.store.faults = platform.PlatformFaults(down=True)
     await boxes.until(
-        lambda: not any(box.picture.store_answers for box in fleet.gateways)
+        lambda: not any(box.store_cache.store_answers for box in fleet.gateways)
     )
     fleet.store.go_back(copy)
     fleet.store.faults = platform.PlatformFaults()
     for stand_in in fleet.replicas:
         fleet.record(stand_in, builders.PLAIN)
     await boxes.until(
-        lambda: any(box.picture.store_answers for box in fleet.gateways)
+        lambda: any(box.store_cache.store_answers for box in fleet.gateways)
     )
     return made
 
@@ -71,7 +71,11 @@
     made = await restore_and_rewrite(fleet, revisions)
     fleet.record(made, builders.PLAIN, state="draining")
     await boxes.until(
-        lambda: not any(box.listed.may_send(made.id) for box in fleet.gateways)
+        lambda: (
+            not any(
+                box.endpoint_list.is_ready(made.id) for box in fleet.gateways
+            )
+        )
     )
 
 
@@ -82,7 +86,9 @@
     await restore_and_rewrite(fleet, revisions)
     made = await fleet.add_replica(builders.PLAIN)
     await boxes.until(
-        lambda: all(box.listed.may_send(made.id) for box in fleet.gateways)
+        lambda: all(
+            box.endpoint_list.is_ready(made.id) for box in fleet.gateways
+        )
     )
 
 
@@ -93,7 +99,7 @@
     await restore_and_rewrite(fleet, revisions)
     fleet.configure(builders.config_document(9))
     await boxes.until(
-        lambda: all(box.picture.version == 9 for box in fleet.gateways)
+        lambda: all(box.store_cache.version == 9 for box in fleet.gateways)
     )
 
 
--- a/tests/test_store_readers.py
+++ b/tests/test_store_readers.py
@@ -8,7 +8,7 @@
 from martenjunction_lab import boxes
 from tests import routing_builders as builders
 
-PeerAge = store_readers.PeerAge
+PeerAge = store_readers.PeerReaderState
 
 
 def first_and_others(count: int) -> tuple[str, list[str]]:
@@ -43,7 +43,7 @@
     role = store_readers.ReaderRole(first)
     for now in (0.0, 5.0, 50.0):
         assert role.decide(ages(others, True, 0.1), 0.1, now)
-    assert role.first
+    assert role.is_first
 
 
 def test_box_without_others_reads() -> None:
@@ -107,7 +107,7 @@
     return [
         made.members.own.box
         for made in fleet.gateways
-        if made.follower.answered
+        if made.follower.is_synced
     ]
 
 
@@ -136,7 +136,8 @@
     fleet.configure(builders.config_document(version=9))
     await boxes.until(
         lambda: all(
-            made.listed.ready_ids() == [] and made.picture.version == 9
+            made.endpoint_list.ready_ids() == []
+            and made.store_cache.version == 9
             for made in fleet.gateways
         )
     )
@@ -154,7 +155,7 @@
     await reader.stop()
     fleet.configure(builders.config_document(version=9))
     await boxes.until(
-        lambda: all(made.picture.version == 9 for made in fleet.gateways)
+        lambda: all(made.store_cache.version == 9 for made in fleet.gateways)
     )
     assert readers(fleet)
 
@@ -166,10 +167,10 @@
     await fleet.until_listed()
     fleet.store.faults.silent = True
     await boxes.until(
-        lambda: not any(m.picture.store_answers for m in fleet.gateways)
+        lambda: not any(m.store_cache.store_answers for m in fleet.gateways)
     )
     fleet.forget(gone)
     fleet.store.faults.silent = False
     await boxes.until(
-        lambda: all(m.listed.ready_ids() == [] for m in fleet.gateways)
+        lambda: all(m.endpoint_list.ready_ids() == [] for m in fleet.gateways)
     )
--- a/tests/test_store_returns.py
+++ b/tests/test_store_returns.py
@@ -36,7 +36,7 @@
 
 
 def readers(fleet: boxes.Boxes) -> list[gateway.Gateway]:
-    return [box for box in fleet.gateways if box.follower.answered]
+    return [box for box in fleet.gateways if box.follower.is_synced]
 
 
 def restore_store(
@@ -57,7 +57,7 @@
         fleet.store.write("other-kind", "one", {"number": number})
     fleet.record(fleet.replicas[0], builders.PLAIN, slots=7)
     last = builders.rev(fleet.store.version, fleet.store.era)
-    await until_all(fleet, lambda box: box.listed.revision == last)
+    await until_all(fleet, lambda box: box.endpoint_list.revision == last)
 
 
 async def until_all(
@@ -69,7 +69,7 @@
 async def until_era_known(fleet: boxes.Boxes) -> None:
     """Waits until all boxes know the store's era."""
     era = fleet.store.era
-    await until_all(fleet, lambda box: box.listed.revision.era == era)
+    await until_all(fleet, lambda box: box.endpoint_list.revision.era == era)
 
 
 def disconnect_store(box: gateway.Gateway) -> None:
@@ -87,9 +87,9 @@
     await until_all(
         fleet,
         lambda box: (
-            not box.listed.may_send(gone.id)
-            and box.listed.may_send(made.id)
-            and box.picture.version == 9
+            not box.endpoint_list.is_ready(gone.id)
+            and box.endpoint_list.is_ready(made.id)
+            and box.store_cache.version == 9
         ),
     )
 
@@ -157,13 +157,17 @@
     copy = fleet.store.copy()
     gone = fleet.replicas[1]
     fleet.forget(gone)
-    await until_all(fleet, lambda box: not box.listed.may_send(gone.id))
+    await until_all(fleet, lambda box: not box.endpoint_list.is_ready(gone.id))
     restore_store(fleet, copy, gone)
     await until_era_known(fleet)
     assert fleet.store.find(documents.ENDPOINT_KIND, gone.id) is not None
-    assert not any(box.listed.may_send(gone.id) for box in fleet.gateways)
+    assert not any(
+        box.endpoint_list.is_ready(gone.id) for box in fleet.gateways
+    )
     await check_updates_arrive(fleet)
-    assert not any(box.listed.may_send(gone.id) for box in fleet.gateways)
+    assert not any(
+        box.endpoint_list.is_ready(gone.id) for box in fleet.gateways
+    )
 
 
 async def test_endpoints_missing_from_the_copy_stay_available(
@@ -174,10 +178,12 @@
     await fleet.until_listed()
     fleet.store.go_back(copy)
     await until_era_known(fleet)
-    assert all(box.listed.may_send(late.id) for box in fleet.gateways)
+    assert all(box.endpoint_list.is_ready(late.id) for box in fleet.gateways)
     fleet.record(late, builders.PLAIN)
-    await until_all(fleet, lambda box: not box.listed.entries[late.id].lapsed)
-    assert all(box.listed.may_send(late.id) for box in fleet.gateways)
+    await until_all(
+        fleet, lambda box: not box.endpoint_list.entries[late.id].lapsed
+    )
+    assert all(box.endpoint_list.is_ready(late.id) for box in fleet.gateways)
 
 
 async def test_entries_of_all_boxes_are_written_again(
@@ -234,12 +240,14 @@
     copy = fleet.store.copy()
     fleet.configure(builders.config_document(8))
     [box] = fleet.gateways
-    await boxes.until(lambda: box.picture.version == 8)
+    await boxes.until(lambda: box.store_cache.version == 8)
     fleet.store.go_back(copy)
-    await boxes.until(lambda: not box.freshness.covers(box.timers.now()))
+    await boxes.until(
+        lambda: not box.freshness.allows_keys_at(box.timers.now())
+    )
     refused, _ = await requests.ask(fleet, "/safe/")
     fleet.configure(builders.config_document(9))
-    await boxes.until(lambda: box.freshness.covers(box.timers.now()))
+    await boxes.until(lambda: box.freshness.allows_keys_at(box.timers.now()))
     served, _ = await requests.ask(fleet, "/safe/")
     await fleet.stop()
     assert (refused.status, served.status) == (503, 200)
--- a/tests/test_suspect_spread.py
+++ b/tests/test_suspect_spread.py
@@ -24,18 +24,20 @@
             self.table,
             linked,  # type: ignore[arg-type]
             linked,  # type: ignore[arg-type]
-            lambda box, key, held: self.table.take(key, held, 0.0),
+            lambda box, key, held: self.table.merge_peer(key, held, 0.0),
         )
         self.sync.start(linked.emitter)
 
     @property
     def known(self) -> suspicion.Suspicion:
         suspect = self.table.find(KEY)
-        return suspicion.Suspicion("") if suspect is None else suspect.held
+        return suspicion.Suspicion("") if suspect is None else suspect.evidence
 
     def note_end(self, endpoint: str) -> None:
-        ruling = self.table.judge(KEY, frozenset(), 0.0)
-        changed = self.table.note_end(KEY, SERVICE, endpoint, ruling, "v1", 0.0)
+        ruling = self.table.decide(KEY, frozenset(), 0.0)
+        changed = self.table.record_crash(
+            KEY, SERVICE, endpoint, ruling, "v1", 0.0
+        )
         assert changed is not None
         self.sync.announce(changed)
 
@@ -60,12 +62,12 @@
         for _ in range(5):
             await asyncio.sleep(0)
         for node in self.nodes.values():
-            node.sync.pass_on()
+            node.sync.forward_pending()
         for _ in range(5):
             await asyncio.sleep(0)
 
     def all_know(self, ends: int) -> bool:
-        return all(len(n.known.ends) == ends for n in self.nodes.values())
+        return all(len(n.known.crashes) == ends for n in self.nodes.values())
 
 
 async def test_all_boxes_know_after_two_rounds() -> None:
@@ -91,8 +93,8 @@
     nodes = list(fleet.nodes.values())
     for number, node in enumerate(nodes[:at_once]):
         key = request_content.ContentKey(b"c" * 8, bytes([number]) * 16)
-        ruling = node.table.judge(key, frozenset(), 0.0)
-        changed = node.table.note_end(key, SERVICE, "e1", ruling, "v1", 0.0)
+        ruling = node.table.decide(key, frozenset(), 0.0)
+        changed = node.table.record_crash(key, SERVICE, "e1", ruling, "v1", 0.0)
         assert changed is not None
         node.sync.announce(changed)
     for _ in range(8):
@@ -107,7 +109,7 @@
     judge = fleet.nodes["box-80"]
     for number in range(50):
         other = request_content.ContentKey(b"o" * 8, bytes([number]) * 16)
-        judge.table.note_answer(other, SERVICE, 0.0)
+        judge.table.record_answer(other, SERVICE, 0.0)
     for number, name in enumerate(["box-0", "box-40", judge.name]):
         assert not any(node.known.quarantined for node in fleet.nodes.values())
         fleet.nodes[name].note_end(f"e{number}")
@@ -121,7 +123,7 @@
     away = fleet.nodes["box-0"]
     for node in fleet.nodes.values():
         if node is not away:
-            node.table.take(
+            node.table.merge_peer(
                 KEY, suspicion.Suspicion(SERVICE, 0, {"e0": 1}), 0.0
             )
             node.table.clear(KEY, 0.0)
--- a/tests/test_suspect_trials.py
+++ b/tests/test_suspect_trials.py
@@ -23,7 +23,7 @@
 from martenjunction.routing import peer_messages
 from martenjunction.routing import permits
 from martenjunction.routing import request_content
-from martenjunction.routing import suspect_news
+from martenjunction.routing import suspect_codec
 from martenjunction.routing import trial_grants
 from martenjunction_lab import boxes
 from tests import limited_fleet
@@ -45,7 +45,9 @@
         await made.add_replica(builders.PLAIN)
     await made.until_listed()
     await boxes.until(
-        lambda: all(len(b.sync.heard()) == BOXES - 1 for b in made.gateways)
+        lambda: all(
+            len(b.sync.responsive_peers()) == BOXES - 1 for b in made.gateways
+        )
     )
     yield made
     await made.stop()
@@ -59,7 +61,7 @@
 
 async def permit(box: gateway.Gateway, left_s: float = 20.0) -> permits.Permit:
     deadline = box.timers.now() + left_s
-    return await box.suspects.permit(KEY, service(box), deadline)
+    return await box.quarantine.permit(KEY, service(box), deadline)
 
 
 def request_permits(
@@ -77,8 +79,8 @@
 
 async def until_suspected(fleet: boxes.Boxes, ends: int) -> None:
     def known(box: gateway.Gateway) -> bool:
-        suspect = box.suspects.table.find(KEY)
-        return suspect is not None and len(suspect.held.ends) == ends
+        suspect = box.quarantine.table.find(KEY)
+        return suspect is not None and len(suspect.evidence.crashes) == ends
 
     await boxes.until(lambda: all(known(box) for box in fleet.gateways))
 
@@ -87,18 +89,20 @@
     """Crashes an endpoint during the request; waits until all boxes know."""
     first = await permit(fleet.gateways[0])
     at = dataclasses.replace(builders.endpoint("e1"), version="v1")
-    first.ended(at)
+    first.record_crash(at)
     await until_suspected(fleet, 1)
 
 
 def trial_count(box: gateway.Gateway) -> int:
-    suspect = box.suspects.table.find(KEY)
-    return 0 if suspect is None else suspect.held.tries
+    suspect = box.quarantine.table.find(KEY)
+    return 0 if suspect is None else suspect.evidence.trials
 
 
 def find_holder(fleet: boxes.Boxes) -> gateway.Gateway:
     box = fleet.gateways[0]
-    name = holders.HolderSelector(box.members, box.sync.heard).holder(str(KEY))
+    name = holders.HolderSelector(
+        box.members, box.sync.responsive_peers
+    ).holder(str(KEY))
     return next(b for b in fleet.gateways if b.members.own.box == name)
 
 
@@ -115,12 +119,12 @@
     pending = request_permits(fleet)
     for _ in range(3):
         await asyncio.sleep(0)
-        time.sleep(3 * timers.HELD_UP_S)
+        time.sleep(3 * timers.STALL_THRESHOLD_S)
     await asyncio.sleep(SETTLE_S)
     [first] = granted_permits(pending)
-    assert first.apart
+    assert first.isolated
     # Once the first trial's crash is known, exactly one more may begin.
-    first.ended(builders.endpoint("e2"))
+    first.record_crash(builders.endpoint("e2"))
     await until_suspected(fleet, 2)
     await asyncio.sleep(SETTLE_S)
     assert len(granted_permits(pending)) == 2
@@ -132,7 +136,7 @@
 ) -> None:
     await make_suspected(fleet)
     trial = await permit(fleet.gateways[1])
-    assert trial.apart
+    assert trial.isolated
     pending = request_permits(fleet, left_s=1.0)
     done = await asyncio.gather(*pending, return_exceptions=True)
     for refusal in done:
@@ -146,10 +150,10 @@
 ) -> None:
     await make_suspected(fleet)
     trial = await permit(fleet.gateways[1])
-    assert trial.apart
+    assert trial.isolated
     pending = request_permits(fleet)
     await asyncio.sleep(suspect_table.TRIAL_S + SETTLE_S)
-    assert not any(p.apart for p in await asyncio.gather(*pending))
+    assert not any(p.isolated for p in await asyncio.gather(*pending))
 
 
 async def test_request_after_a_broken_trial_is_a_trial_again(
@@ -157,12 +161,12 @@
 ) -> None:
     await make_suspected(fleet)
     trial = await permit(fleet.gateways[1])
-    trial.broken(builders.endpoint("e2"))
+    trial.record_broken_run(builders.endpoint("e2"))
     trial.close()
     pending = request_permits(fleet)
     await asyncio.sleep(suspect_table.TRIAL_S + SETTLE_S)
     [second] = granted_permits(pending)
-    assert second.apart
+    assert second.isolated
     await cancel(pending)
 
 
@@ -170,14 +174,14 @@
     fleet: boxes.Boxes,
 ) -> None:
     box = fleet.gateways[1]
-    (await permit(box)).answered()
+    (await permit(box)).record_answer()
     for number in range(2):
         endpoint = builders.endpoint(f"e{number}")
-        (await permit(box)).ended(endpoint)
+        (await permit(box)).record_crash(endpoint)
         await until_suspected(fleet, number + 1)
     trial = await permit(box)
-    assert trial.apart
-    assert (await permit(box, left_s=0.5)).apart
+    assert trial.isolated
+    assert (await permit(box, left_s=0.5)).isolated
     # A box that saw no answer still refuses the request.
     with pytest.raises(admission.RefusalError):
         await permit(fleet.gateways[2], left_s=0.5)
@@ -191,8 +195,8 @@
     pending = request_permits(fleet)
     await asyncio.sleep(SETTLE_S)
     assert granted_permits(pending) == []
-    trial.answered()
-    assert not any(p.apart for p in await asyncio.gather(*pending))
+    trial.record_answer()
+    assert not any(p.isolated for p in await asyncio.gather(*pending))
 
 
 async def test_inconclusive_trial_lets_the_next_begin_at_once(
@@ -203,7 +207,7 @@
     for _ in range(3):
         began = time.monotonic()
         trial = await permit(box)
-        assert trial.apart
+        assert trial.isolated
         assert time.monotonic() - began < suspect_table.TRIAL_S
         trial.close()
 
@@ -215,12 +219,12 @@
     # off and the confirmation that its endpoint has crashed.
     await make_suspected(fleet)
     trial = await permit(fleet.gateways[1])
-    trial.broken(builders.endpoint("e2"))
+    trial.record_broken_run(builders.endpoint("e2"))
     trial.close()
     pending = request_permits(fleet)
     await asyncio.sleep(SETTLE_S)
     assert granted_permits(pending) == []
-    trial.ended(builders.endpoint("e2"))
+    trial.record_crash(builders.endpoint("e2"))
     await asyncio.sleep(SETTLE_S)
     assert len(granted_permits(pending)) == 1
     await cancel(pending)
@@ -231,7 +235,7 @@
 ) -> None:
     await make_suspected(fleet)
     unresponsive = find_holder(fleet)
-    trials = unresponsive.suspects._trials
+    trials = unresponsive.quarantine._trials
     denied = trial_grants.TrialRuling(False)
     monkeypatch.setattr(trials, "_decide_for", lambda *args: denied)
     monkeypatch.setattr(trials, "_answer", lambda *args: None)
@@ -239,7 +243,7 @@
     pending = [asyncio.create_task(permit(box)) for box in others]
     await asyncio.sleep(trial_grants.ANSWER_LIMIT_S + SETTLE_S)
     [first] = granted_permits(pending)
-    assert first.apart
+    assert first.isolated
     await cancel(pending)
 
 
@@ -249,20 +253,20 @@
     await make_suspected(fleet)
     box = next(b for b in fleet.gateways if b is not find_holder(fleet))
     trial = await permit(box)
-    assert trial.apart
+    assert trial.isolated
     # A trial that keeps running would release the pending request.
-    trial.broken(builders.endpoint("e2"))
+    trial.record_broken_run(builders.endpoint("e2"))
     trial.close()
     holder = find_holder(fleet)
-    holder.suspects.table._suspects.clear()
-    suspect = box.suspects.table.find(KEY)
+    holder.quarantine.table._suspects.clear()
+    suspect = box.quarantine.table.find(KEY)
     assert suspect is not None
     # Makes this box ask the holder, which has lost its record of the trial.
     suspect.trial_until = 0.0
     pending = asyncio.create_task(permit(box))
     await asyncio.sleep(SETTLE_S)
     assert not pending.done()
-    assert (await pending).apart
+    assert (await pending).isolated
 
 
 async def test_trial_of_a_cancelled_request_is_released_at_once(
@@ -276,7 +280,7 @@
     holder = find_holder(fleet)
     await boxes.until(lambda: trial_count(holder) == 1)
     await asyncio.sleep(SETTLE_S)
-    suspect = holder.suspects.table.find(KEY)
+    suspect = holder.quarantine.table.find(KEY)
     assert suspect is not None and suspect.trial_until == 0.0
 
 
@@ -284,9 +288,9 @@
     fleet: boxes.Boxes,
 ) -> None:
     await make_suspected(fleet)
-    suspect = find_holder(fleet).suspects.table.find(KEY)
+    suspect = find_holder(fleet).quarantine.table.find(KEY)
     assert suspect is not None
-    suspect.held.quarantined = True
+    suspect.evidence.quarantined = True
     box = next(b for b in fleet.gateways if b is not find_holder(fleet))
     began = time.monotonic()
     with pytest.raises(admission.RefusalError):
@@ -300,7 +304,7 @@
     for other in fleet.gateways[1:]:
         await other.stop()
     del fleet.gateways[1:]
-    assert (await permit(box)).apart
+    assert (await permit(box)).isolated
 
 
 class TrialNode:
@@ -321,7 +325,7 @@
             holders.HolderSelector(believed, lambda: heard),
             timers.Timers(),
             self._decide,
-            lambda box, key, held: self.table.take(key, held, 0.0),
+            lambda box, key, held: self.table.merge_peer(key, held, 0.0),
             lambda key, trial: self.table.end_trial(key, trial),
         )
         self.trials.start()
@@ -329,9 +333,9 @@
     def _decide(
         self, key: request_content.ContentKey, builds: frozenset[str]
     ) -> trial_grants.TrialRuling:
-        ruling = self.table.judge(key, builds, 0.0)
+        ruling = self.table.decide(key, builds, 0.0)
         if ruling.verdict is not suspect_table.Verdict.ALONE:
-            return trial_grants.TrialRuling(False, ruling.again_s)
+            return trial_grants.TrialRuling(False, ruling.recheck_after_s)
         self.table.begin_trial(key, 0.0)
         self.granted += 1
         return trial_grants.TrialRuling(True)
@@ -345,8 +349,8 @@
     ]
     nodes = [TrialNode(node, members) for node in linked.nodes.values()]
     for node in nodes:
-        ruling = suspect_table.Ruling(suspect_table.Verdict.FREE)
-        node.table.note_end(KEY, builders.PLAIN, "e1", ruling, "v1", 0.0)
+        ruling = suspect_table.SuspectDecision(suspect_table.Verdict.FREE)
+        node.table.record_crash(KEY, builders.PLAIN, "e1", ruling, "v1", 0.0)
     pending = [node.trials.ask(KEY, frozenset()) for node in nodes]
     rulings = await asyncio.gather(*pending)
     assert sum(ruling.granted for ruling in rulings) == 1
@@ -355,10 +359,10 @@
 
 def test_trial_messages_round_trip() -> None:
     table = suspect_table.SuspectTable()
-    ruling = suspect_table.Ruling(suspect_table.Verdict.FREE)
-    changed = table.note_end(KEY, builders.PLAIN, "e1", ruling, "v1", 0.0)
+    ruling = suspect_table.SuspectDecision(suspect_table.Verdict.FREE)
+    changed = table.record_crash(KEY, builders.PLAIN, "e1", ruling, "v1", 0.0)
     assert changed is not None
-    message = suspect_news.encode([changed])
+    message = suspect_codec.encode([changed])
     batch = [
         peer_messages.AskTrial(3, message, ("v1",), 1),
         peer_messages.TrialAnswer(3, True, 1, message),
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -6,12 +6,12 @@
 import pytest
 
 from martenjunction import model
-from martenjunction.decisions.boxes import endpoint_hazard
+from martenjunction.decisions.boxes import crash_rates
 from martenjunction.decisions.boxes import suspect_table
 from martenjunction.routing import admission
 from martenjunction.routing import permits
 from martenjunction.routing import request_content
-from martenjunction.routing import suspects
+from martenjunction.routing import request_quarantine
 from martenjunction_lab import boxes
 from martenjunction_lab import replica
 from tests import gateway_requests as requests
@@ -22,7 +22,9 @@
 
 
 def only_suspect(fleet: boxes.Boxes) -> suspect_table.Suspect | None:
-    held = [s for s in fleet.gateways[0].suspects.table if s.held.generation]
+    held = [
+        s for s in fleet.gateways[0].quarantine.table if s.evidence.generation
+    ]
     assert len(held) <= 1
     return held[0] if held else None
 
@@ -37,7 +39,7 @@
     fleet: boxes.Boxes, key: request_content.ContentKey
 ) -> permits.Permit:
     box = fleet.gateways[0]
-    return await box.suspects.permit(
+    return await box.quarantine.permit(
         key, service(fleet), box.timers.now() + 2.0
     )
 
@@ -52,7 +54,7 @@
         await requests.ask(fleet, "/safe/", f"other-{number}")
     for stand_in in made:
         stand_in.plan(Behaviour.HANG)
-    for number in range(endpoint_hazard.LEAST_ENDS):
+    for number in range(crash_rates.MIN_CRASHES):
         asking = asyncio.create_task(
             requests.ask(fleet, path, f"r{number}", **PATIENT)
         )
@@ -68,7 +70,7 @@
         fleet.record(stand_in, builders.PLAIN, born=2)
     await boxes.until(
         lambda: all(
-            fleet.gateways[0].listed.may_send(f"{stand_in.id}/2")
+            fleet.gateways[0].endpoint_list.is_ready(f"{stand_in.id}/2")
             for stand_in in made
         )
     )
@@ -89,9 +91,12 @@
     await quarantine_request(fleet)
     before = requests.arrivals(fleet.replicas)
     head, body = await requests.ask(fleet, "/unsafe/", "again")
-    assert (head.status, body) == (503, suspects.QUARANTINED_CODE.encode())
+    assert (head.status, body) == (
+        503,
+        request_quarantine.QUARANTINED_CODE.encode(),
+    )
     again_s = float(head.get(b"retry-after") or 0)
-    assert again_s > suspect_table.FIRST_RELEASE_S / 2
+    assert again_s > suspect_table.INITIAL_RELEASE_S / 2
     assert requests.arrivals(fleet.replicas) == before
     # A request of the same caller with other content is served.
     head, _ = await requests.ask(fleet, "/unsafe/other", "other")
@@ -127,7 +132,7 @@
     await boxes.until(
         lambda: any(
             listed.endpoint.version == "v2"
-            for listed in box.listed.entries.values()
+            for listed in box.endpoint_list.entries.values()
         )
     )
     head, _ = await requests.ask(fleet, "/unsafe/", "again")
@@ -145,8 +150,8 @@
     await fleet.add_box("box-3")
 
     def known(box: int) -> bool:
-        suspect = fleet.gateways[box].suspects.table.find(key)
-        return suspect is not None and suspect.held.quarantined
+        suspect = fleet.gateways[box].quarantine.table.find(key)
+        return suspect is not None and suspect.evidence.quarantined
 
     await boxes.until(lambda: known(1) and known(2))
 
@@ -155,7 +160,7 @@
     fleet: boxes.Boxes,
 ) -> None:
     made = await requests.two_plain(fleet)
-    requests.behave(made, Behaviour.RESET)
+    requests.plan_first_response(made, Behaviour.RESET)
     head, _ = await requests.ask(fleet, "/unsafe/")
     assert head.status == 502
     assert only_suspect(fleet) is None
@@ -171,7 +176,7 @@
     await boxes.until(lambda: bool(made.received))
     fleet.record(made, builders.PLAIN, state="draining")
     box = fleet.gateways[0]
-    await boxes.until(lambda: not box.listed.may_send(made.id))
+    await boxes.until(lambda: not box.endpoint_list.is_ready(made.id))
     await made.stop()
     await asking
     assert only_suspect(fleet) is None
@@ -185,7 +190,7 @@
     [made] = [await fleet.add_replica(builders.PLAIN)]
     fleet.record(made, builders.PLAIN, born=1)
     box = fleet.gateways[0]
-    await boxes.until(lambda: box.listed.may_send(f"{made.id}/1"))
+    await boxes.until(lambda: box.endpoint_list.is_ready(f"{made.id}/1"))
     made.plan(Behaviour.RESET)
     await requests.ask(fleet, "/unsafe/")
     assert only_suspect(fleet) is None
@@ -199,14 +204,14 @@
     await requests.two_plain(fleet)
     key = request_content.ContentKey(b"c" * 8, b"q" * 16)
     at = builders.endpoint()
-    (await permit(fleet, key)).ended(at)
+    (await permit(fleet, key)).record_crash(at)
     first = await permit(fleet, key)
-    assert first.apart
+    assert first.isolated
     second = asyncio.create_task(permit(fleet, key))
     await asyncio.sleep(0.05)
     assert not second.done()
-    first.answered()
-    assert not (await second).apart
+    first.record_answer()
+    assert not (await second).isolated
 
 
 async def test_permit_is_invalid_after_a_crash(
@@ -215,9 +220,9 @@
     await requests.two_plain(fleet)
     key = request_content.ContentKey(b"c" * 8, b"q" * 16)
     one, two = await permit(fleet, key), await permit(fleet, key)
-    assert two.stands()
-    one.ended(builders.endpoint())
-    assert not two.stands()
+    assert two.is_valid()
+    one.record_crash(builders.endpoint())
+    assert not two.is_valid()
 
 
 async def test_no_permit_is_issued_in_quarantine(fleet: boxes.Boxes) -> None:
@@ -228,8 +233,8 @@
             made = await permit(fleet, key)
         except admission.RefusalError as refusal:
             assert refusal.status == 503
-            assert number >= endpoint_hazard.LEAST_ENDS
+            assert number >= crash_rates.MIN_CRASHES
             return
         at = dataclasses.replace(builders.endpoint(f"e{number}"), version="v1")
-        made.ended(at)
+        made.record_crash(at)
     pytest.fail("it was never refused")
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 import pytest
 
-from martenjunction.decisions.boxes import endpoint_hazard
+from martenjunction.decisions.boxes import crash_rates
 from martenjunction.decisions.boxes import suspect_table
 from martenjunction.decisions.boxes import suspicion
 from martenjunction.routing import peer_messages
 from martenjunction.routing import request_content
-from martenjunction.routing import suspect_news
+from martenjunction.routing import suspect_codec
 
 SERVICE = "engine-service"
 Verdict = suspect_table.Verdict
@@ -21,11 +21,11 @@
     suspicion.Suspicion,
     service=st.just(SERVICE),
     epoch=st.integers(0, 2),
-    ends=st.dictionaries(
+    crashes=st.dictionaries(
         st.sampled_from([f"e{n}" for n in range(12)]), st.integers(1, 5)
     ),
     builds=st.frozensets(st.sampled_from(["v1", "v2", "v3"])),
-    tries=st.integers(0, 3),
+    trials=st.integers(0, 3),
     quarantined=st.booleans(),
     releases=st.integers(0, 2),
     outlived=st.booleans(),
@@ -68,7 +68,7 @@
 
 def test_evidence_of_an_earlier_epoch_is_ignored() -> None:
     evidence = suspicion.Suspicion(SERVICE)
-    evidence.note_end("e1", 1, "v1")
+    evidence.record_crash("e1", 1, "v1")
     late = copy.deepcopy(evidence)
     evidence.clear()
     assert not evidence.merge(late)
@@ -78,8 +78,8 @@
 def test_crashes_are_bounded_and_the_latest_are_kept() -> None:
     evidence = suspicion.Suspicion(SERVICE)
     for number in range(1, 30):
-        evidence.note_end(f"e{number}", number, f"v{number}")
-    assert len(evidence.ends) == suspicion.MAX_CRASHES
+        evidence.record_crash(f"e{number}", number, f"v{number}")
+    assert len(evidence.crashes) == suspicion.MAX_CRASHES
     assert len(evidence.builds) <= suspicion.MAX_BUILDS
     assert evidence.generation == 29
 
@@ -88,32 +88,32 @@
 
 
 def test_three_crashes_suffice_where_others_are_answered() -> None:
-    crash_rate = endpoint_hazard.EndpointHazard()
+    crash_rate = crash_rates.CrashRate()
     for _ in range(20):
         crash_rate.record_answer(1.0)
-    assert crash_rate.ends_needed((), 1.0) == endpoint_hazard.LEAST_ENDS
+    assert crash_rate.crashes_needed((), 1.0) == crash_rates.MIN_CRASHES
 
 
 def test_more_crashes_are_needed_while_all_runs_crash() -> None:
-    crash_rate = endpoint_hazard.EndpointHazard()
+    crash_rate = crash_rates.CrashRate()
     for number in range(20):
         crash_rate.record_crash(f"e{number}", 1.0)
-    assert crash_rate.ends_needed((), 1.0) > 20
+    assert crash_rate.crashes_needed((), 1.0) > 20
     # Crashes that the request may have caused do not count in its favor.
     explained = {f"e{number}" for number in range(20)}
-    nothing_seen = endpoint_hazard.EndpointHazard().ends_needed((), 1.0)
-    assert crash_rate.ends_needed(explained, 1.0) == nothing_seen
-    assert nothing_seen <= endpoint_hazard.MAX_CRASHES
+    nothing_seen = crash_rates.CrashRate().crashes_needed((), 1.0)
+    assert crash_rate.crashes_needed(explained, 1.0) == nothing_seen
+    assert nothing_seen <= crash_rates.MAX_CRASHES
 
 
 def test_old_runs_do_not_count() -> None:
-    crash_rate = endpoint_hazard.EndpointHazard()
+    crash_rate = crash_rates.CrashRate()
     for number in range(20):
         crash_rate.record_crash(f"e{number}", 1.0)
-    later = 2.0 + endpoint_hazard.WINDOW_S
+    later = 2.0 + crash_rates.WINDOW_S
     for _ in range(20):
         crash_rate.record_answer(later)
-    assert crash_rate.ends_needed((), later) == endpoint_hazard.LEAST_ENDS
+    assert crash_rate.crashes_needed((), later) == crash_rates.MIN_CRASHES
 
 
 # Decisions about a request.
@@ -127,10 +127,12 @@
         self.made = suspect_table.SuspectTable()
         self.builds = frozenset({"v1"})
         for number in range(20):
-            self.made.note_answer(key(1000 + number), SERVICE, self.now)
+            self.made.record_answer(key(1000 + number), SERVICE, self.now)
 
-    def judge(self, which: request_content.ContentKey) -> suspect_table.Ruling:
-        return self.made.judge(which, self.builds, self.now)
+    def judge(
+        self, which: request_content.ContentKey
+    ) -> suspect_table.SuspectDecision:
+        return self.made.decide(which, self.builds, self.now)
 
     def verdict(self, which: request_content.ContentKey) -> Verdict:
         return self.judge(which).verdict
@@ -139,10 +141,10 @@
         self,
         which: request_content.ContentKey,
         endpoint: str,
-        ruling: suspect_table.Ruling | None = None,
+        ruling: suspect_table.SuspectDecision | None = None,
         build: str = "v1",
     ) -> None:
-        self.made.note_end(
+        self.made.record_crash(
             which,
             SERVICE,
             endpoint,
@@ -152,7 +154,7 @@
         )
 
     def quarantine(self, which: request_content.ContentKey) -> None:
-        for number in range(endpoint_hazard.LEAST_ENDS):
+        for number in range(crash_rates.MIN_CRASHES):
             self.end(which, f"{which.content.hex()}-{number}")
         assert self.verdict(which) is Verdict.QUARANTINED
 
@@ -180,7 +182,7 @@
 
 def test_popular_request_is_served_after_an_outage() -> None:
     table = Table()
-    table.made.note_answer(key(), SERVICE, table.now)
+    table.made.record_answer(key(), SERVICE, table.now)
     ruling = table.judge(key())
     for number in range(8):
         table.end(key(), f"e{number}", ruling)
@@ -195,7 +197,7 @@
     # Without a report that it is still running, the trial may have been
     # aborted.
     assert table.verdict(key()) is Verdict.ALONE
-    assert table.made.note_outlived(key(), 0) is not None
+    assert table.made.record_outlived(key(), 0) is not None
     assert table.verdict(key()) is Verdict.FREE
 
 
@@ -203,19 +205,19 @@
     table, other = Table(), Table()
     table.end(key(), "e1")
     table.made.begin_trial(key(), table.now)
-    suspect = table.made.note_outlived(key(), 0)
+    suspect = table.made.record_outlived(key(), 0)
     assert suspect is not None
-    other.made.take(key(), suspect.held, other.now)
+    other.made.merge_peer(key(), suspect.evidence, other.now)
     assert other.verdict(key()) is Verdict.FREE
     other.end(key(), "e2")
     assert other.verdict(key()) is Verdict.ALONE
-    assert other.made.note_outlived(key(), 0) is None
+    assert other.made.record_outlived(key(), 0) is None
 
 
 def test_one_answer_clears_a_request() -> None:
     table = Table()
     table.quarantine(key())
-    table.made.note_answer(key(), SERVICE, table.now)
+    table.made.record_answer(key(), SERVICE, table.now)
     assert table.verdict(key()) is Verdict.FREE
 
 
@@ -225,18 +227,18 @@
     table.end(key(), "e2")
     ruling = table.judge(key())
     assert ruling.generation == 3
-    table.made.note_answer(key(), SERVICE, table.now)
+    table.made.record_answer(key(), SERVICE, table.now)
     table.end(key(), "e3", ruling)
     suspect = table.made.find(key())
-    assert suspect is not None and suspect.held.generation == 1
+    assert suspect is not None and suspect.evidence.generation == 1
 
 
 def test_trials_of_a_quarantined_request_back_off() -> None:
     table = Table()
     table.quarantine(key())
     for number in range(3):
-        pause_s = table.judge(key()).again_s
-        expected = suspect_table.FIRST_RELEASE_S * 4.0**number
+        pause_s = table.judge(key()).recheck_after_s
+        expected = suspect_table.INITIAL_RELEASE_S * 4.0**number
         assert pause_s == pytest.approx(expected)
         table.now += pause_s + 0.1
         ruling = table.judge(key())
@@ -266,7 +268,7 @@
     there.quarantine(key())
     reported = there.made.find(key())
     assert reported is not None
-    here.made.take(key(), reported.held, here.now)
+    here.made.merge_peer(key(), reported.evidence, here.now)
     assert here.verdict(key()) is Verdict.QUARANTINED
 
 
@@ -293,7 +295,7 @@
     table.end(key(1), "e1")
     table.quarantine(key(2))
     table.now += suspect_table.SUSPECT_LIFETIME_S + 1.0
-    table.made.forget(table.now)
+    table.made.expire(table.now)
     assert table.made.find(key(1)) is None
     assert table.made.find(key(2)) is not None
 
@@ -306,7 +308,7 @@
     evidence: suspicion.Suspicion,
 ) -> None:
     suspect = suspect_table.Suspect(key(7), evidence, 0.0)
-    assert list(suspect_news.decode(suspect_news.encode([suspect]))) == [
+    assert list(suspect_codec.decode(suspect_codec.encode([suspect]))) == [
         (key(7), evidence)
     ]
 
@@ -323,7 +325,7 @@
     ]
     columns = list(zip(*rows, strict=True))
     count = len(rows)
-    news = peer_messages.Suspects(
+    news = peer_messages.SuspectRecords(
         *columns,  # type: ignore[arg-type]
         builds=((),) * count,
         tries=(0,) * count,
@@ -331,7 +333,7 @@
         releases=(0,) * count,
         outlived=(False,) * count,
     )
-    assert [found for found, _ in suspect_news.decode(news)] == [key()]
+    assert [found for found, _ in suspect_codec.decode(news)] == [key()]
 
 
 # Crashes that are independent of the request.
@@ -350,29 +352,31 @@
             for number in range(25):
                 other = key(10_000 + number)
                 if draw.random() < chance:
-                    ruling = table.judge(other, frozenset(), 0.0)
-                    table.note_end(other, SERVICE, "o", ruling, "v1", 0.0)
+                    ruling = table.decide(other, frozenset(), 0.0)
+                    table.record_crash(other, SERVICE, "o", ruling, "v1", 0.0)
                 else:
-                    table.note_answer(other, SERVICE, 0.0)
+                    table.record_answer(other, SERVICE, 0.0)
         for content in range(100):
             runs = 0
             while runs < 4 and draw.random() < chance:
                 at = draw.choice(tables)
-                ruling = at.judge(key(content), frozenset(), 0.0)
+                ruling = at.decide(key(content), frozenset(), 0.0)
                 if ruling.verdict is Verdict.QUARANTINED:
                     break
                 end = f"e{content}-{runs}"
-                noted = at.note_end(
+                noted = at.record_crash(
                     key(content), SERVICE, end, ruling, "v1", 0.0
                 )
                 assert noted is not None
                 for table in tables:
-                    reported = table.take(key(content), noted.held, 0.0)
+                    reported = table.merge_peer(
+                        key(content), noted.evidence, 0.0
+                    )
                     if reported is not None:
-                        noted.held.merge(reported.held)
+                        noted.evidence.merge(reported.evidence)
                 runs += 1
             suspect = tables[0].find(key(content))
-            wrong += suspect is not None and suspect.held.quarantined
+            wrong += suspect is not None and suspect.evidence.quarantined
     return wrong
 
 
--- a/tests/test_tier_precedence.py
+++ b/tests/test_tier_precedence.py
@@ -15,7 +15,7 @@
 ) -> int:
     """Returns how many of some requests of a tier have to yield."""
     return sum(
-        made.holds_back("s", tier, now)
+        made.should_yield("s", tier, now)
         for _ in range(2 * tier_precedence.EXEMPT_EVERY)
     )
 
@@ -23,23 +23,23 @@
 def test_lower_tiers_yield_except_for_a_share() -> None:
     made = tier_precedence.TierPrecedence()
     assert count_yielding(made, 1, 0.0) == 0
-    made.note_refused("s", 1, 0.0)
+    made.record_refusal("s", 1, 0.0)
     assert count_yielding(made, 0, 0.1) == 0
     assert count_yielding(made, 1, 0.1) == 0
     assert count_yielding(made, 2, 0.1) == 2 * tier_precedence.EXEMPT_EVERY - 2
-    assert not made.holds_back("other", 2, 0.1)
+    assert not made.should_yield("other", 2, 0.1)
 
 
 def test_lower_tiers_stop_yielding_after_the_last_refusal() -> None:
     made = tier_precedence.TierPrecedence()
-    made.note_refused("s", 0, 0.0)
+    made.record_refusal("s", 0, 0.0)
     assert count_yielding(made, 1, tier_precedence.YIELD_S) == 0
 
 
 def test_services_are_bounded() -> None:
     made = tier_precedence.TierPrecedence()
     for number in range(2 * tier_precedence.MAX_SERVICES):
-        made.note_refused(f"s{number}", 0, 0.0)
+        made.record_refusal(f"s{number}", 0, 0.0)
     assert len(made._services) == tier_precedence.MAX_SERVICES
 
 
@@ -52,7 +52,7 @@
     config["routes"][0]["priority"] = 0
     fleet.configure(config)
     await limited_replicas.start(fleet, builders.PLAIN, 1, limit="5")
-    await boxes.until(lambda: fleet.gateways[0].picture.version == 9)
+    await boxes.until(lambda: fleet.gateways[0].store_cache.version == 9)
     served = {"/safe/": 0, "/unsafe/": 0}
     until = time.monotonic() + 4.0
     number = 0
@@ -70,9 +70,9 @@
 ) -> None:
     made = await limited_replicas.start(fleet, builders.PLAIN, 2, limit="5")
     made[1].limit = None
-    limited_replicas.say(fleet, made[0], 5.0)
+    limited_replicas.report_limit(fleet, made[0], 5.0)
     box = fleet.gateways[0]
-    box._tools.precedence.note_refused(builders.PLAIN, -1, box.timers.now())
+    box._context.precedence.record_refusal(builders.PLAIN, -1, box.timers.now())
     for number in range(10):
         head, _ = await requests.ask(fleet, "/safe/", f"r{number}")
         assert head.status == 200
