--- a/martenjunction/callers/handlers.py
+++ b/martenjunction/callers/handlers.py
@@ -247,7 +247,7 @@
 
 def _too_large(limit: int) -> errors.CallerError:
     return errors.CallerError(
-        413, "body-too-large", f"the body exceeds the limit of {limit} bytes"
+        413, "body-too-large", f"a body may have {limit} bytes"
     )
 
 
--- a/martenjunction/callers/service.py
+++ b/martenjunction/callers/service.py
@@ -198,14 +198,14 @@
             raise errors.CallerError(
                 503,
                 "box-leaving",
-                "this box is shutting down",
+                "this box leaves",
                 SHUTDOWN_RETRY_AFTER,
             )
         tier = request.service_class.tier
         if self.utilization >= ADMISSION_LIMITS[tier]:
             self._parts.numbers.count("turned_away", tier=str(tier))
             raise errors.CallerError(
-                503, "box-full", "this box is at capacity", OVERLOAD_RETRY_AFTER
+                503, "box-full", "this box is full", OVERLOAD_RETRY_AFTER
             )
         admitted = relay.Relay(request, sink, self._parts.tools)
         self._relays[request.request_id] = admitted
--- a/martenjunction/claims/keeper.py
+++ b/martenjunction/claims/keeper.py
@@ -84,7 +84,7 @@
             return results.Result(
                 outcomes.Outcome.NOT_RUN,
                 results.FailureCode.CLAIM_UNAVAILABLE,
-                "the idempotency key could not be claimed on the platform",
+                "the key could not be claimed with the platform",
                 RETRY_AFTER,
             )
         outcome, code, message = _CLAIMED_RESULTS[state]
@@ -183,11 +183,11 @@
     messages.ClaimState.IN_PROGRESS: (
         outcomes.Outcome.UNKNOWN,
         results.FailureCode.ALREADY_CLAIMED,
-        "an earlier request with this key was accepted; its outcome is unknown",
+        "a request with this key was taken in before; its end is not known",
     ),
     messages.ClaimState.RAN: (
         outcomes.Outcome.DONE,
         results.FailureCode.ALREADY_RAN,
-        "a request with this idempotency key already ran",
+        "a request with this key already ran",
     ),
 }
--- a/tests/test_ready_and_closed.py
+++ b/tests/test_ready_and_closed.py
@@ -31,7 +31,7 @@
         self.statuses: list[int] = []
         self.on_watch: Callable[[], None] = lambda: None
 
-    def watch_end(self, callback: Callable[[], None] | None) -> None:
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
         if callback is not None:
             self.on_watch()
 
