--- a/martenjunction/routing/box_dump.py
+++ b/martenjunction/routing/box_dump.py
@@ -16,7 +16,7 @@
     cache: store_cache.StoreCache,
     freshness: config_freshness.ConfigFreshness,
     client: store.StoreClient,
-    book: endpoint_registry.EndpointRegistry,
+    registry: endpoint_registry.EndpointRegistry,
     connections: pool.EndpointPool,
     peers: hub.PeerHub,
     members: membership.Membership,
@@ -29,7 +29,7 @@
         cache: The local copy of the store's state.
         freshness: The age of the configuration.
         client: The store's client.
-        book: The endpoints and their records.
+        registry: The endpoints and their records.
         connections: Connections to the endpoints.
         peers: Connections to the other boxes.
         members: The boxes of the fleet.
@@ -53,7 +53,7 @@
                 "revision": listed.revision.number,
                 "connections": connections.open_connections(endpoint_id),
             }
-            for endpoint_id, listed in book.listed.entries.items()
+            for endpoint_id, listed in registry.listed.entries.items()
         },
         "records": {
             record.id: {
@@ -65,10 +65,10 @@
                 if now < record.refusals.backoff_until
                 else 0.0,
             }
-            for record in book.records.values()
+            for record in registry.records.values()
         },
-        "leaving": book.listed.leaving,
-        "engines": book.engines.dump(now),
+        "leaving": registry.listed.leaving,
+        "engines": registry.engines.dump(now),
         "peers": {
             member.box: peers.is_connected(member.box)
             for member in members.members.values()
--- a/martenjunction/routing/endpoint_liveness.py
+++ b/martenjunction/routing/endpoint_liveness.py
@@ -30,16 +30,16 @@
 
     def __init__(
         self,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         connections: pool.EndpointPool,
     ) -> None:
         """Initializes the checker.
 
         Args:
-            book: The endpoint registry; records unreachable endpoints.
+            registry: The endpoint registry; records unreachable endpoints.
             connections: The connection pool.
         """
-        self._book = book
+        self._registry = registry
         self._connections = connections
         self._checks: dict[str, asyncio.Task[bool]] = {}
         self._on_ended: EndCallback = lambda endpoint_id: None
@@ -54,7 +54,7 @@
         If it has, the callback is usually called before this method returns.
         The wait is bounded by a timeout, so it may also be called later.
         """
-        listed = self._book.listed
+        listed = self._registry.listed
         if listed.restarted(endpoint.id):
             self._on_ended(endpoint.id)
             return
@@ -92,7 +92,7 @@
             connection = await self._connections.connect(endpoint)
         except errors.EndpointNotReachedError as error:
             # Spares the other runs there from detecting this one by one.
-            self._book.note_unreachable(endpoint.id, time.monotonic())
+            self._registry.note_unreachable(endpoint.id, time.monotonic())
             return isinstance(error.__cause__, errors.PortRefusedError)
         except errors.EndpointError:
             return False
--- a/martenjunction/routing/endpoint_notices.py
+++ b/martenjunction/routing/endpoint_notices.py
@@ -23,7 +23,7 @@
         self,
         leaving: leaving_sync.LeavingSync,
         limits: limit_sync.LimitSync,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         now: Callable[[], float],
         log: decision_log.DecisionLog,
     ) -> None:
@@ -32,13 +32,13 @@
         Args:
             leaving: Receives leaving endpoints, for all boxes.
             limits: Receives rate limits, which are shared by all boxes.
-            book: Receives back-off requests, which apply to this box only.
+            registry: Receives back-off requests, which apply to this box only.
             now: Returns the steady-clock time in seconds.
             log: Receives a line for each malformed notice.
         """
         self._leaving = leaving
         self._limits = limits
-        self._book = book
+        self._registry = registry
         self._now = now
         self._log = log
 
@@ -66,7 +66,9 @@
     def _back_off(
         self, endpoint: model.Endpoint, status: int, asked_s: float
     ) -> None:
-        longer_s = self._book.start_backoff(endpoint.id, asked_s, self._now())
+        longer_s = self._registry.start_backoff(
+            endpoint.id, asked_s, self._now()
+        )
         if longer_s:
             self._log.write(
                 "endpoint-rests",
--- a/martenjunction/routing/endpoint_runs.py
+++ b/martenjunction/routing/endpoint_runs.py
@@ -125,8 +125,8 @@
             self._context.grants.refund(offer.grant)
             self._context.pool.release(endpoint.id, run.connection)
             raise errors.ConnectionLostError("the client left")
-        book = self._context.registry
-        ticket = book.begin(offer.choice, demand, time.monotonic())
+        registry = self._context.registry
+        ticket = registry.begin(offer.choice, demand, time.monotonic())
         self._running, self._ticket = run, ticket
         self._state.choices.append(endpoint_registry.describe(offer.choice))
         failed = True
@@ -146,7 +146,7 @@
             self._state.connection_broken = isinstance(
                 error.__cause__, errors.TransportError
             )
-            book.note_broken_response(endpoint.id, time.monotonic())
+            registry.note_broken_response(endpoint.id, time.monotonic())
             self._state.progress.record(outcomes.Event.BROKEN)
             if self._state.connection_broken:
                 # Checked before the retry: a request that crashes its endpoint
@@ -160,7 +160,7 @@
             raise
         finally:
             self._running = self._ticket = None
-            book.end(ticket, time.monotonic(), failed)
+            registry.end(ticket, time.monotonic(), failed)
             offer.permit.close()
             self._context.pool.release(endpoint.id, run.connection)
 
--- a/martenjunction/routing/limit_sync.py
+++ b/martenjunction/routing/limit_sync.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         peers: hub.PeerHub,
         members: membership.Membership,
         clock: timers.Timers,
@@ -44,14 +44,14 @@
         """Initializes the exchange; `start` subscribes to peer messages.
 
         Args:
-            book: Holds the endpoints and their limits.
+            registry: Holds the endpoints and their limits.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
             clock: The clock and timers.
             log: Records each limit that begins, changes or ends.
         """
-        self._book = book
-        self._limits = book.limits
+        self._registry = registry
+        self._limits = registry.limits
         self._peers = peers
         self._members = members
         self._timers = clock
@@ -125,11 +125,11 @@
             age_ms=round(age_s / MS),
         )
         if change.per_s is None:
-            self._book.clear_limit(endpoint_id, self._timers.now())
+            self._registry.clear_limit(endpoint_id, self._timers.now())
 
     def _check(self) -> None:
         now = self._timers.now()
-        self._limits.prune(self._book.listed.entries, now)
+        self._limits.prune(self._registry.listed.entries, now)
         self._send_due()
         for endpoint_id in [
             i
--- a/martenjunction/routing/peer_sync.py
+++ b/martenjunction/routing/peer_sync.py
@@ -79,7 +79,7 @@
         members: membership.Membership,
         cache: store_cache.StoreCache,
         freshness: config_freshness.ConfigFreshness,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         clock: timers.Timers,
         log: decision_log.DecisionLog,
         is_ready: Callable[[], bool],
@@ -93,7 +93,7 @@
             members: The boxes of the fleet.
             cache: The local copy of the store's state.
             freshness: The age of the configuration.
-            book: Receives the other boxes' load.
+            registry: Receives the other boxes' load.
             clock: The clock and timers.
             log: Records configuration changes and unusable messages.
             is_ready: Returns whether this box accepts clients.
@@ -104,7 +104,7 @@
         self._members = members
         self._cache = cache
         self._freshness = freshness
-        self._book = book
+        self._registry = registry
         self._timers = clock
         self._log = log
         self._is_ready = is_ready
@@ -148,11 +148,11 @@
         loads: list[endpoint_registry.LoadRow],
         sent: list[tuple[str, int]],
     ) -> peer_messages.BoxStatus:
-        engines = self._book.engines.rows(self._timers.now())
+        engines = self._registry.engines.rows(self._timers.now())
         return peer_messages.BoxStatus(
             self._is_ready(),
             self._cache.version,
-            self._book.listed.revision,
+            self._registry.listed.revision,
             self._reader.is_synced,
             self._age_ms(),
             self._link_kb,
@@ -203,7 +203,7 @@
         self._members.record_heartbeat(box, 0.0)
         self._reader.update_era(status.revision.era)
         behind = self._note_version(status.version, box)
-        if behind or status.revision > self._book.listed.revision:
+        if behind or status.revision > self._registry.listed.revision:
             self._query(box)
         engines = zip(
             status.engine_services,
@@ -213,7 +213,7 @@
             status.long_demand,
             strict=False,
         )
-        self._book.engines.update_peer(box, engines, now)
+        self._registry.engines.update_peer(box, engines, now)
         if not status.has_loads:
             return
         loads = zip(
@@ -224,9 +224,9 @@
             status.unread,
             strict=False,
         )
-        self._book.update_peer_loads(box, list(loads), now)
+        self._registry.update_peer_loads(box, list(loads), now)
         sent = zip(status.engines, status.sent, strict=False)
-        self._book.update_peer_sent(box, list(sent), now)
+        self._registry.update_peer_sent(box, list(sent), now)
 
     def _note_version(self, version: int, box: str) -> bool:
         """Records a peer's version; returns whether it is newer than ours."""
@@ -270,7 +270,7 @@
     def _broadcast_removed(self, ids: list[str]) -> None:
         self._peers.broadcast(
             peer_messages.EndpointsRemoved(
-                tuple(ids), self._book.listed.revision
+                tuple(ids), self._registry.listed.revision
             )
         )
 
@@ -281,16 +281,16 @@
         """
         now = self._timers.now()
         if now < self._loads_due or not (
-            self._book.running or self._reported_load
+            self._registry.running or self._reported_load
         ):
             return
-        sent = dict(self._book.sent_tokens())
+        sent = dict(self._registry.sent_tokens())
         changed = [
             row for row in sent.items() if row not in self._reported_sent
         ]
         self._reported_sent = set(sent.items())
-        status = self._status(True, self._book.loads(), changed)
-        self._reported_load = self._book.running > 0
+        status = self._status(True, self._registry.loads(), changed)
+        self._reported_load = self._registry.running > 0
         self._peers.broadcast(status)
         peers = len(self._peers.boxes())
         size = peers * len(codec.Encoded(status).data)
@@ -307,11 +307,11 @@
             self._group(now), self._freshness.age_s(now), now
         )
         self._reader.read(reads, self._role.is_first)
-        self._book.set_load_scale(self._load_scale())
+        self._registry.set_load_scale(self._load_scale())
         state = (
             self._reader.is_synced,
             self._cache.version,
-            self._book.listed.revision,
+            self._registry.listed.revision,
         )
         if self._reader.is_synced and state != self._announced_state:
             if self._announced_state[1] not in (0, self._cache.version):
@@ -365,8 +365,8 @@
         In a large fleet a box is connected to only a few boxes of the other
         availability zones. It assumes the same average load for the others.
         """
-        heard = len(self._peers.boxes()) + 1
-        return max(1.0, len(self._members.live_members()) / heard)
+        reachable = len(self._peers.boxes()) + 1
+        return max(1.0, len(self._members.live_members()) / reachable)
 
     def _is_responsive(self, member: membership.Member) -> bool:
         received = self._statuses.get(member.box)
@@ -422,15 +422,15 @@
                 0 if conflicting else self._cache.version,
                 revisions.NONE
                 if self._is_missing_entries
-                else self._book.listed.revision,
-                self._book.listed.digest(),
+                else self._registry.listed.revision,
+                self._registry.listed.digest(),
             ),
         )
         if not sent:
             self._queries.drop_peer(box)
 
     def _on_ask(self, box: str, ask: peer_messages.AskView) -> None:
-        listed = self._book.listed
+        listed = self._registry.listed
         update = self._cache.documents.update_for(ask.version)
         if update is not None:
             self._peers.send(box, update)
@@ -468,7 +468,7 @@
         if view.has_endpoints:
             self._cache.apply_view(view.rows(), view.ready, view.revision, box)
         self._is_missing_entries = any(
-            endpoint_id not in self._book.listed.entries
+            endpoint_id not in self._registry.listed.entries
             for endpoint_id in view.ready
         )
 
--- a/martenjunction/routing/prober.py
+++ b/martenjunction/routing/prober.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         connections: pool.EndpointPool,
         admitter: admission.Admitter,
         gate: rate_grants.RateGrants,
@@ -32,13 +32,13 @@
         """Initializes the prober; `start` begins probing.
 
         Args:
-            book: The endpoint registry; records the results.
+            registry: The endpoint registry; records the results.
             connections: The connection pool.
             admitter: Provides the health check paths of services.
             gate: Grants requests to endpoints with a rate limit.
             clock: Provides the time and periodic callbacks.
         """
-        self._book = book
+        self._registry = registry
         self._connections = connections
         self._admitter = admitter
         self._gate = gate
@@ -59,8 +59,8 @@
         config = self._admitter.config
         if config is None:
             return
-        for endpoint_id in self._book.due_for_probe(self._timers.now()):
-            listed = self._book.listed.entries[endpoint_id]
+        for endpoint_id in self._registry.due_for_probe(self._timers.now()):
+            listed = self._registry.listed.entries[endpoint_id]
             service = config.services.get(listed.endpoint.service)
             if service is None or endpoint_id in self._probes:
                 continue
@@ -74,7 +74,7 @@
             if await self._gate.acquire(endpoint.id) is None:
                 return
             healthy = await self._ask(endpoint, path)
-            self._book.note_probe_result(
+            self._registry.note_probe_result(
                 endpoint.id, healthy, self._timers.now()
             )
         finally:
--- a/martenjunction/routing/rate_grants.py
+++ b/martenjunction/routing/rate_grants.py
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        book: endpoint_registry.EndpointRegistry,
+        registry: endpoint_registry.EndpointRegistry,
         sync: limit_sync.LimitSync,
         peers: hub.PeerHub,
         members: membership.Membership,
@@ -77,14 +77,14 @@
         """Initializes the grants; `start` subscribes to peer messages.
 
         Args:
-            book: Holds the endpoints' limits.
+            registry: Holds the endpoints' limits.
             sync: Synchronizes the limits between boxes.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
             responsive_peers: Returns the live peers with a recent status.
             clock: The clock and timers.
         """
-        self._limits = book.limits
+        self._limits = registry.limits
         self._limit_sync = sync
         self._peers = peers
         self._selector = holders.HolderSelector(members, responsive_peers)
--- a/martenjunction/routing/request_quarantine.py
+++ b/martenjunction/routing/request_quarantine.py
@@ -68,7 +68,7 @@
     def __init__(
         self,
         listed: endpoint_list.EndpointList,
-        ends: endpoint_liveness.EndpointLiveness,
+        liveness: endpoint_liveness.EndpointLiveness,
         peers: hub.PeerHub,
         members: membership.Membership,
         clock: timers.Timers,
@@ -80,7 +80,7 @@
 
         Args:
             listed: The endpoints.
-            ends: Detects whether endpoints have crashed.
+            liveness: Detects whether endpoints have crashed.
             peers: Connections to the other boxes.
             members: The boxes of the fleet.
             clock: The clock and timers.
@@ -113,7 +113,7 @@
             self._end_trial,
         )
         self._refused = 0
-        ends.on_ended(self._confirm_crash)
+        liveness.on_ended(self._confirm_crash)
 
     @property
     def listed(self) -> endpoint_list.EndpointList:
